--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -20,7 +20,6 @@
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
 from lacewingcourse.relay.address import split_address
 from lacewingcourse.relay.admission import Admission
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.boot_clock import boot_time
 from lacewingcourse.relay.calls import CallForwarder
 from lacewingcourse.relay.connections import ConnectionPool
@@ -40,6 +39,7 @@
 from lacewingcourse.relay.placement_duty import PlacementDuty
 from lacewingcourse.relay.readiness import Readiness
 from lacewingcourse.relay.retry_loans import RetryLoans
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.sending import Sender
 from lacewingcourse.relay.settings_watch import SettingsWatch
 from lacewingcourse.relay.small_server import Question, Reply, SmallServer
@@ -60,7 +60,7 @@
 
     Attributes:
         settings: Its settings; their addresses hold for its life.
-        beliefs: What it believes.
+        routing_state: What it believes.
         readiness: Whether it is ready.
         log: Log of decisions.
     """
@@ -87,13 +87,13 @@
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
         self.boot_clock = boot_time
-        self.beliefs = Beliefs()
+        self.routing_state = RoutingState()
         self.metrics = platform.metrics
         self.log = DecisionLog(
             self.clock, self.metrics, self._version, self._version_age
         )
         self.readiness = Readiness(
-            self.beliefs,
+            self.routing_state,
             settings.bounds.grace,
             LAST_REQUESTS.get(settings.last_requests),
         )
@@ -115,14 +115,14 @@
         """Make the parts and give each what it needs."""
         rng = random.Random(self.settings.name)
         self.watch = LoopWatch(self.clock, self.metrics.loop_lag.observe, self._on_lag)
-        self.beliefs.watch = self.watch
+        self.routing_state.watch = self.watch
         limits = LimitReader(
-            self.beliefs.limits,
+            self.routing_state.limits,
             self.log,
             self.clock,
             self.metrics.unreadable_limits.inc,
         )
-        send_limits = self.beliefs.send_limits
+        send_limits = self.routing_state.send_limits
         send_limits.sharing = LIMIT_SHARINGS.get(self.settings.limit_sharing)()
         sender = Sender(
             self.pool,
@@ -133,13 +133,15 @@
             limits.take,
         )
         zone = self.settings.zone
-        calls = CallForwarder(self.beliefs, sender, self.budget, zone, rng, self.log)
+        calls = CallForwarder(
+            self.routing_state, sender, self.budget, zone, rng, self.log
+        )
         self.admission = Admission(self.clock, WAITS.get(self.settings.wait))
-        finder = PathFinder(self.beliefs, rng, self.clock, self.pool)
+        finder = PathFinder(self.routing_state, rng, self.clock, self.pool)
         self.stalls = StallWatcher(
             self.platform.reports,
-            self.beliefs.suspects,
-            self.beliefs.speeds,
+            self.routing_state.suspects,
+            self.routing_state.speeds,
             finder,
             self.clock,
             self.log,
@@ -147,7 +149,7 @@
             self._on_start,
         )
         streams = StreamForwarder(
-            self.beliefs,
+            self.routing_state,
             finder,
             sender,
             self.budget,
@@ -160,7 +162,7 @@
         )
         budget = PropagationBudget(self.settings.bounds.configuration)
         self.ingress = Ingress(
-            self.beliefs,
+            self.routing_state,
             self.platform.codec,
             calls,
             streams,
@@ -176,7 +178,7 @@
         )
         self.configuration = ConfigurationFollower(
             self.platform.configuration,
-            self.beliefs,
+            self.routing_state,
             self.log,
             self.boot_clock,
             self._reader_rank,
@@ -187,7 +189,7 @@
         )
         self.directory = DirectoryFollower(
             self.platform.directory,
-            self.beliefs,
+            self.routing_state,
             self.log,
             self.clock,
             self._reader_rank,
@@ -214,7 +216,7 @@
             self.holder,
             self.platform.orders,
             self.platform.reports,
-            self.beliefs,
+            self.routing_state,
             self.log,
             self.clock,
             self.settings.bounds.fencing_checked,
@@ -223,7 +225,7 @@
             self.settings.name,
             self.settings.peers,
             self.book,
-            self.beliefs,
+            self.routing_state,
             self.configuration,
             self.directory,
             self.holder,
@@ -266,7 +268,7 @@
         send_limits.on_want = self.permits.check
         send_limits.on_fall = self._tell_peers
         self.house = Housekeeping(
-            self.beliefs,
+            self.routing_state,
             self.pool,
             self.book,
             self.budget,
@@ -276,7 +278,7 @@
         )
         page = MetricsPage(
             self.metrics,
-            self.beliefs,
+            self.routing_state,
             self.configuration.freshness,
             self.directory.freshness,
             self.clock,
@@ -331,7 +333,7 @@
             self.log.failed(task.exception())
 
     def _version(self) -> int:
-        table = self.beliefs.table
+        table = self.routing_state.table
         return table.version if table else 0
 
     def _version_age(self) -> float:
@@ -348,13 +350,13 @@
         """Leave out endpoints that were found to be dead, and tell it."""
         now = self.clock()
         for endpoint in endpoints:
-            self.beliefs.suspects.suspect(endpoint, reason, now, silent=True)
+            self.routing_state.suspects.suspect(endpoint, reason, now, silent=True)
         self.log.belief("suspected", endpoints=list(endpoints), reason=reason)
         self._tell_peers()
 
     def _on_start(self, name: str, born: int) -> bool:
         """Take from an endpoint when it started; tell whether that is new."""
-        if not self.beliefs.fleet.note_start(name, born):
+        if not self.routing_state.fleet.note_start(name, born):
             return False
         self.log.belief("endpoint_restarted", endpoint=name, born=born)
         return True
@@ -372,7 +374,7 @@
     def _on_configuration(self) -> None:
         """Apply the limits of a version that has come into force, and tell it."""
         self._tell_peers()
-        self.ingress.put_in_force(self.beliefs.table.limits)
+        self.ingress.put_in_force(self.routing_state.table.limits)
 
     def _on_lag(self, late: float, section: Section) -> None:
         """Tell that the loop stood still, and what ran meanwhile."""
@@ -390,7 +392,7 @@
         self.directory.freshness.expire()
         self.holder.lease = None
         self.budget.drop_loans()
-        self.beliefs.send_limits.sharing.clear()
+        self.routing_state.send_limits.sharing.clear()
         self.readiness.suspended(slept)
 
     def _on_term(self) -> None:
--- a/packages/relay/src/lacewingcourse/relay/calls.py
+++ b/packages/relay/src/lacewingcourse/relay/calls.py
@@ -34,9 +34,9 @@
 
     from lacewingcourse.core.pipelines.fleet import Endpoint
     from lacewingcourse.core.pipelines.retry_budget import RetryBudget
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.job import Job
+    from lacewingcourse.relay.routing_state import RoutingState
     from lacewingcourse.relay.upstream import Exchange
 
 #: Connections that may fail to be made for one request before it is refused.
@@ -59,7 +59,7 @@
     """Sends calls to endpoints of plain services.
 
     Attributes:
-        beliefs: What is believed of the endpoints.
+        routing_state: What is believed of the endpoints.
         sender: What sends.
         budget: Repeats that are left.
         zone: Availability zone of this entry.
@@ -67,7 +67,7 @@
         log: Log of decisions.
     """
 
-    beliefs: Beliefs
+    routing_state: RoutingState
     sender: Sender
     budget: RetryBudget
     zone: str
@@ -103,7 +103,7 @@
                 job.reason = result.reason
                 return last or job.failure(UNSENT_ENDS[result.cause], CALL_RETRY_AFTER)
             if isinstance(result, NotSent):
-                self.beliefs.suspects.suspect(endpoint.id, result.reason, now)
+                self.routing_state.suspects.suspect(endpoint.id, result.reason, now)
                 job.avoid.add(endpoint.id)
                 job.reason = result.reason
                 unsent += 1
@@ -121,7 +121,7 @@
             self.log.lost(job, endpoint.id, result.reason)
             if result.connection_lost:
                 now = self.sender.clock()
-                self.beliefs.crashes.strike(job.fingerprint, endpoint.id, now)
+                self.routing_state.crashes.strike(job.fingerprint, endpoint.id, now)
             if not job.may_try_another:
                 return self._failed(job, result)
 
@@ -151,10 +151,10 @@
             return refusal
         if job.sends and not self.budget.hold(job.service, job, now, reserved=False):
             return Refusal(ErrorKind.RETRIES_EXHAUSTED, Unsent.NO_RETRY.value)
-        usable = self.beliefs.usable(job.service, now)
+        usable = self.routing_state.usable(job.service, now)
         if not usable:
-            usable = self.beliefs.fleet.of_service(job.service)
-        limits = self.beliefs.send_limits
+            usable = self.routing_state.fleet.of_service(job.service)
+        limits = self.routing_state.send_limits
         limits.release(job)
         found = self._choose_among(job, usable, job.avoid.union(besides), now)
         if isinstance(found, Refusal):
@@ -171,7 +171,7 @@
         now: float,
     ) -> Endpoint | Refusal:
         """Return one of some endpoints that may be sent a call now, or why none may."""
-        limits, loads = self.beliefs.send_limits, self.beliefs.loads
+        limits, loads = self.routing_state.send_limits, self.routing_state.loads
 
         def choose(among: list[Endpoint]) -> Endpoint | Refusal:
             return choose_endpoint(among, loads, self.zone, avoided, self.rng)
@@ -191,7 +191,7 @@
         self, job: Job, endpoint: Endpoint
     ) -> WholeAnswer | NoAnswer | NotSent:
         """Return an endpoint's answer, or what became of the call there."""
-        self.beliefs.loads.begin_call(endpoint.id)
+        self.routing_state.loads.begin_call(endpoint.id)
         try:
             fresh = not job.route.retry_safety.may_retry
             result = await self._ask(job, endpoint, fresh)
@@ -208,7 +208,7 @@
                 return result
             return again
         finally:
-            self.beliefs.loads.end_call(endpoint.id)
+            self.routing_state.loads.end_call(endpoint.id)
 
     async def _ask(
         self, job: Job, endpoint: Endpoint, fresh: bool
@@ -230,8 +230,8 @@
         job.sends += 1
         job.firsts.add(endpoint.id)
         job.current = sent
-        age = now - self.beliefs.fleet.known_at
-        limit = self.beliefs.limits.named(endpoint.id)
+        age = now - self.routing_state.fleet.known_at
+        limit = self.routing_state.limits.named(endpoint.id)
         self.log.sent(job, endpoint.id, age, 0.0, limit)
         if job.caller.gone:
             job.caller_gone()
--- a/packages/relay/src/lacewingcourse/relay/endings.py
+++ b/packages/relay/src/lacewingcourse/relay/endings.py
@@ -87,16 +87,18 @@
 
     def _expected(self, job: Job, now: float) -> float:
         """Return the seconds that what is done for a request takes yet."""
-        beliefs = self.gateway.beliefs
-        shape = beliefs.shape(job.service)
+        routing_state = self.gateway.routing_state
+        shape = routing_state.shape(job.service)
         max_answer = job.request.most_answer
         if shape is not None and max_answer:
             max_events = -(-max_answer // shape.event_tokens) - job.events
             has_begun = job.events > 0
-            rest = beliefs.durations.rest_of_stream(job.service, max_events, has_begun)
+            rest = routing_state.durations.rest_of_stream(
+                job.service, max_events, has_begun
+            )
             if rest is not None:
                 return rest
-        expected = beliefs.durations.expected(job.route.name)
+        expected = routing_state.durations.expected(job.route.name)
         elapsed = now - job.request.received_at
         if expected is None or elapsed >= expected:
             return UNKNOWN_REST
--- a/packages/relay/src/lacewingcourse/relay/followers.py
+++ b/packages/relay/src/lacewingcourse/relay/followers.py
@@ -23,7 +23,6 @@
     from lacewingcourse.core.pipelines.fleet import Endpoint
     from lacewingcourse.core.pipelines.freshness import Freshness, PropagationBudget
     from lacewingcourse.core.pipelines.routing import RoutingTable
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.peer_messages import FleetNews
     from lacewingcourse.relay.ports import (
@@ -31,6 +30,7 @@
         ConfigurationSource,
         EndpointDirectory,
     )
+    from lacewingcourse.relay.routing_state import RoutingState
 
 #: Seconds between two reads of the directory at the most. The directory changes all
 #: the time, so that reads that waited for a change would follow one another at once.
@@ -53,7 +53,7 @@
 
     Attributes:
         source: Where it comes from.
-        beliefs: Where it is put in force.
+        routing_state: Where it is put in force.
         log: Log of decisions.
         clock: Returns the present time in seconds.
         rank: Returns how many live entries come before this one.
@@ -69,7 +69,7 @@
     """
 
     source: ConfigurationSource
-    beliefs: Beliefs
+    routing_state: RoutingState
     log: DecisionLog
     clock: Callable[[], float]
     rank: Callable[[], int]
@@ -123,7 +123,7 @@
 
     def take(self, table: RoutingTable, origin: str) -> None:
         """Put a version in force unless a newer one is."""
-        if not self.beliefs.accept(table):
+        if not self.routing_state.accept(table):
             return
         self.in_step = origin == SOURCE
         age = self.freshness.age(self.clock())
@@ -178,7 +178,7 @@
 
     Attributes:
         directory: Where they are listed.
-        beliefs: Where they are kept.
+        routing_state: Where they are kept.
         log: Log of decisions.
         clock: Returns the present time in seconds.
         boot_clock: Returns the present time in seconds, counting those for which the
@@ -197,7 +197,7 @@
     """
 
     directory: EndpointDirectory
-    beliefs: Beliefs
+    routing_state: RoutingState
     log: DecisionLog
     clock: Callable[[], float]
     rank: Callable[[], int]
@@ -231,7 +231,7 @@
         while True:
             if self.freshness.due(self.rank(), self.boot_clock()):
                 await self.poll()
-            for endpoint in self.beliefs.fleet.expire(self.clock()):
+            for endpoint in self.routing_state.fleet.expire(self.clock()):
                 self.log.belief("endpoint_lapsed", endpoint=endpoint)
             await asyncio.sleep(LOOK_PERIOD)
 
@@ -240,7 +240,7 @@
         sent_at, boot_sent_at = self.clock(), self.boot_clock()
         news = await self.directory.poll(self.position)
         now, boot_now = self.clock(), self.boot_clock()
-        fleet = self.beliefs.fleet
+        fleet = self.routing_state.fleet
         if isinstance(news, Unavailable):
             if self.reachable:
                 self.reachable = False
@@ -270,7 +270,7 @@
         now = self.clock()
         age = news.age + time_on_way
         entries = tuple(EndpointEntry(e.name, e) for e in news.endpoints)
-        self.beliefs.fleet.confirm(now - age)
+        self.routing_state.fleet.confirm(now - age)
         with self.watch.section("endpoints from a peer"):
             changed = self.apply(
                 DirectoryNews(True, entries, news.position), now, told=False
@@ -284,7 +284,7 @@
                 layers={e.id: _range(e) for e in changed[:MOST_SHOWN]},
             )
         for endpoint, remaining in news.lapsed.items():
-            self.beliefs.fleet.lapsed.setdefault(endpoint, now + remaining)
+            self.routing_state.fleet.lapsed.setdefault(endpoint, now + remaining)
         self.freshness.confirm(self.boot_clock() - age)
 
     def apply(
@@ -298,7 +298,7 @@
             told: Whether each change gets a line in the log. What came from another
                 entry was told there.
         """
-        fleet = self.beliefs.fleet
+        fleet = self.routing_state.fleet
         changed: list[Endpoint] = []
         for entry in news.entries:
             if entry.endpoint is not None:
@@ -316,9 +316,9 @@
 
     def _put(self, endpoint: Endpoint, told: bool) -> bool:
         """Take an entry that names an endpoint; tell whether it changed anything."""
-        known = self.beliefs.fleet.named(endpoint.name)
-        recognised = self.beliefs.is_configured(endpoint)
-        effect = self.beliefs.fleet.put(endpoint, recognised)
+        known = self.routing_state.fleet.named(endpoint.name)
+        recognised = self.routing_state.is_configured(endpoint)
+        effect = self.routing_state.fleet.put(endpoint, recognised)
         changed = effect in (EntryEffect.CHANGED, EntryEffect.RESTARTED)
         if told and changed:
             self._tell(endpoint)
--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -19,12 +19,12 @@
     from collections.abc import Callable
     from random import Random
 
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.caller import CallerExchange
     from lacewingcourse.relay.calls import CallForwarder
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.ports import CallerRequest, RequestCodec
     from lacewingcourse.relay.readiness import Readiness
+    from lacewingcourse.relay.routing_state import RoutingState
     from lacewingcourse.relay.streams import StreamForwarder
 
 #: Seconds for which a request waits for the first configuration. An entry listens
@@ -49,7 +49,7 @@
     """Routes, forwards and answers requests.
 
     Attributes:
-        beliefs: What is believed of the deployment.
+        routing_state: What is believed of the deployment.
         codec: How requests look on the platform.
         calls: Forwards calls to plain services.
         streams: Forwards streams.
@@ -64,7 +64,7 @@
         guard: Tells whether refusals for unknown routes and keys can be trusted.
     """
 
-    beliefs: Beliefs
+    routing_state: RoutingState
     codec: RequestCodec
     calls: CallForwarder
     streams: StreamForwarder
@@ -154,7 +154,7 @@
             self.log.refused(request, job, None, self._basis(job))
             self._refuse(caller, request, job)
             return
-        if self.beliefs.crashes.is_refused(job.fingerprint, self.clock()):
+        if self.routing_state.crashes.is_refused(job.fingerprint, self.clock()):
             reason = "endpoints were lost each time it ran"
             kind = ErrorKind.REQUEST_CRASHES_ENDPOINTS
             refusal = Refusal(kind, reason, Outcome.RAN)
@@ -168,7 +168,7 @@
         now = self.clock()
         if refusal is None:
             if caller.whole:
-                self.beliefs.crashes.clear(job.fingerprint)
+                self.routing_state.crashes.clear(job.fingerprint)
                 self._note_duration(job, now)
             self.log.served(job, now)
             return
@@ -184,7 +184,7 @@
 
     def _note_duration(self, job: Job, now: float) -> None:
         """Note how long a whole answer took."""
-        durations, received = self.beliefs.durations, job.request.received_at
+        durations, received = self.routing_state.durations, job.request.received_at
         durations.note(job.route.name, now - received)
         if job.events > 1:
             interval = (job.progressed_at - job.first_at) / (job.events - 1)
@@ -196,7 +196,7 @@
         An entry that is ending asks its caller to go elsewhere at once.
         """
         until = request.received_at + FIRST_CONFIGURATION_WAIT
-        while self.beliefs.table is None and self.clock() < until:
+        while self.routing_state.table is None and self.clock() < until:
             if self.readiness.leaving:
                 return
             await asyncio.sleep(RETRY_PERIOD)
@@ -220,7 +220,7 @@
 
     def _job(self, caller: CallerExchange, request: CallerRequest) -> Job | Refusal:
         """Return what is to be done for a request, or why nothing is."""
-        table = self.beliefs.table
+        table = self.routing_state.table
         if table is None and self.readiness.leaving:
             return Refusal(ErrorKind.DRAINING, LEAVING)
         if table is None:
@@ -285,7 +285,7 @@
 
     async def _forward(self, job: Job) -> Refusal | None:
         """Forward a request; return why it has no whole answer, if it has none."""
-        shape = self.beliefs.shape(job.service)
+        shape = self.routing_state.shape(job.service)
         if shape is not None:
             return await self.streams.serve(job, shape)
         result = await self.calls.serve(job)
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -17,11 +17,11 @@
     from collections.abc import Callable
 
     from lacewingcourse.core.pipelines.peers import PeerBook
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.duty_holder import DutyHolder
     from lacewingcourse.relay.followers import ConfigurationFollower, DirectoryFollower
     from lacewingcourse.relay.readiness import Readiness
+    from lacewingcourse.relay.routing_state import RoutingState
 
 #: Key under which the loads of all others are kept that a hub told.
 OTHERS = "others"
@@ -45,7 +45,7 @@
         name: Name of this entry.
         address: Its address for entries.
         book: The other entries.
-        beliefs: What this entry believes.
+        routing_state: What this entry believes.
         configuration: Follows the configuration.
         directory: Follows the directory.
         holder: Who has the duty of placing.
@@ -62,7 +62,7 @@
     name: str
     address: str
     book: PeerBook
-    beliefs: Beliefs
+    routing_state: RoutingState
     configuration: ConfigurationFollower
     directory: DirectoryFollower
     holder: DutyHolder
@@ -97,9 +97,9 @@
         scope = self.scope_for(receiver, zone, now)
         reach = REACH_OF_SCOPE[scope]
         covered = self._covered(scope, receiver)
-        loads = self.beliefs.loads.total(covered)
-        links = self.beliefs.links.total(now, covered)
-        table, lease = self.beliefs.table, self.holder.lease
+        loads = self.routing_state.loads.total(covered)
+        links = self.routing_state.links.total(now, covered)
+        table, lease = self.routing_state.table, self.holder.lease
         return PeerNews(
             name=self.name,
             zone=self.book.zone,
@@ -116,10 +116,10 @@
                 if load.requests
             },
             links=[(*pair, round(use, 3)) for pair, use in links.items()],
-            suspects=self.beliefs.suspects.remaining(now, reach),
-            silent=sorted(self.beliefs.suspects.silent(now)),
-            speeds=self.beliefs.speeds.remaining(now),
-            crashes=self.beliefs.crashes.losses(now, reach),
+            suspects=self.routing_state.suspects.remaining(now, reach),
+            silent=sorted(self.routing_state.suspects.silent(now)),
+            speeds=self.routing_state.speeds.remaining(now),
+            crashes=self.routing_state.crashes.losses(now, reach),
             peers={
                 peer.name: (peer.address, peer.zone, round(now - peer.heard_at, 3))
                 for peer in self.book.told_to(zone, now)
@@ -130,7 +130,7 @@
             holder_age=round(self.holder.silence(), 3) if lease else 0.0,
             released=self.holder.released,
             ends_in=self.ends_in(),
-            limits=self.beliefs.limits.observations(now),
+            limits=self.routing_state.limits.observations(now),
             reads=self.reads,
             stamp=boot_now,
             echo=self.stamps.echo(receiver, boot_now),
@@ -181,17 +181,19 @@
         near = news.zone == self.book.zone and news.scope is Scope.OWN
         for endpoint, remaining in news.suspects.items():
             silent = endpoint in news.silent
-            self.beliefs.suspects.from_peer(endpoint, remaining, now, near, silent)
+            self.routing_state.suspects.from_peer(
+                endpoint, remaining, now, near, silent
+            )
         for endpoint, (factor, remaining) in news.speeds.items():
-            self.beliefs.speeds.from_peer(endpoint, factor, remaining, now)
-        self.beliefs.crashes.from_peer(news.crashes, now, near)
+            self.routing_state.speeds.from_peer(endpoint, factor, remaining, now)
+        self.routing_state.crashes.from_peer(news.crashes, now, near)
         self._take_limits(news, now, on_way)
         holder_age = on_way + news.holder_age
         self.holder.hear(news.holder, news.fencing, holder_age, news.released)
 
     def _take_limits(self, news: PeerNews, now: float, on_way: float) -> None:
         """Take which limits endpoints named to others."""
-        limits = self.beliefs.limits
+        limits = self.routing_state.limits
         for endpoint, (told, age) in news.limits.items():
             named, before = decode_limit(told), limits.named(endpoint)
             if limits.from_peer(endpoint, named, on_way + age, now):
@@ -208,7 +210,7 @@
     def _take_loads(self, news: PeerNews, now: float) -> None:
         """Take what others run, unless it is known already in another sum."""
         role = self.book.role(now)
-        loads, links = self.beliefs.loads, self.beliefs.links
+        loads, links = self.routing_state.loads, self.routing_state.links
         uses = {(first, second): use for first, second, use in news.links}
         if role is Role.MEMBER:
             if news.scope is Scope.OTHERS:
@@ -232,12 +234,12 @@
         return f"zone {news.zone}" if news.scope is Scope.ZONE and not near else ""
 
     def _forget_but(self, kept: set[str]) -> None:
-        for key in set(self.beliefs.loads.peers) - kept:
+        for key in set(self.routing_state.loads.peers) - kept:
             self._forget(key)
 
     def _forget(self, key: str) -> None:
-        self.beliefs.loads.forget(key)
-        self.beliefs.links.forget(key)
+        self.routing_state.loads.forget(key)
+        self.routing_state.links.forget(key)
 
     def _covered(self, scope: Scope, receiver: str) -> Callable[[str], bool]:
         """Return which loads of others a message tells besides this entry's own."""
--- a/packages/relay/src/lacewingcourse/relay/housekeeping.py
+++ b/packages/relay/src/lacewingcourse/relay/housekeeping.py
@@ -15,8 +15,8 @@
     from lacewingcourse.core.pipelines.peers import PeerBook
     from lacewingcourse.core.pipelines.permits import PermitIssuer
     from lacewingcourse.core.pipelines.retry_budget import RetryBudget
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.connections import ConnectionPool
+    from lacewingcourse.relay.routing_state import RoutingState
 
 #: Seconds between two rounds.
 PERIOD = 0.25
@@ -29,7 +29,7 @@
     """Forgets what is over.
 
     Attributes:
-        beliefs: What this entry believes.
+        routing_state: What this entry believes.
         pool: Connections to endpoints.
         book: The other entries.
         budget: Repeats that are left.
@@ -38,7 +38,7 @@
         on_thaw: Called with the seconds for which this process was frozen.
     """
 
-    beliefs: Beliefs
+    routing_state: RoutingState
     pool: ConnectionPool
     book: PeerBook
     budget: RetryBudget
@@ -60,13 +60,13 @@
     def forget(self, now: float) -> None:
         """Forget what is over, and count the entries that share the budget."""
         self.pool.expire(now)
-        for peer in self.beliefs.loads.expire(now):
-            self.beliefs.links.forget(peer)
-        self.beliefs.suspects.expire(now)
-        self.beliefs.speeds.expire(now)
-        self.beliefs.crashes.expire(now)
-        self.beliefs.send_limits.expire(self.beliefs.fleet.endpoints, now)
-        self.beliefs.send_limits.sharing.entries = self.book.count(now)
+        for peer in self.routing_state.loads.expire(now):
+            self.routing_state.links.forget(peer)
+        self.routing_state.suspects.expire(now)
+        self.routing_state.speeds.expire(now)
+        self.routing_state.crashes.expire(now)
+        self.routing_state.send_limits.expire(self.routing_state.fleet.endpoints, now)
+        self.routing_state.send_limits.sharing.entries = self.book.count(now)
         self.issuer.expire(now)
         self.budget.entries = max(self.book.count(now), self.budget.entries)
         self.budget.known = 1 + len(self.book.peers)
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -16,11 +16,11 @@
 
     from lacewingcourse.core.pipelines.peers import PeerBook
     from lacewingcourse.core.pipelines.routing import Limits
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.calls import CallForwarder
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.ports import RequestCodec
     from lacewingcourse.relay.readiness import Readiness
+    from lacewingcourse.relay.routing_state import RoutingState
     from lacewingcourse.relay.staleness import StalenessGuard
     from lacewingcourse.relay.streams import StreamForwarder
 
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        beliefs: Beliefs,
+        routing_state: RoutingState,
         codec: RequestCodec,
         calls: CallForwarder,
         streams: StreamForwarder,
@@ -52,7 +52,7 @@
         """Make the callers' side.
 
         Args:
-            beliefs: What is believed of the deployment.
+            routing_state: What is believed of the deployment.
             codec: How requests look on the platform.
             calls: Forwards calls to plain services.
             streams: Forwards streams.
@@ -67,7 +67,7 @@
         self.clock = clock
         self.readiness = readiness
         self.gateway = Gateway(
-            beliefs,
+            routing_state,
             codec,
             calls,
             streams,
--- a/packages/relay/src/lacewingcourse/relay/metrics_page.py
+++ b/packages/relay/src/lacewingcourse/relay/metrics_page.py
@@ -10,8 +10,8 @@
     from collections.abc import Callable
 
     from lacewingcourse.core.pipelines.freshness import Freshness
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.metrics import Metrics
+    from lacewingcourse.relay.routing_state import RoutingState
     from lacewingcourse.relay.small_server import Question, Reply
 
 
@@ -21,7 +21,7 @@
 
     Attributes:
         metrics: The metrics.
-        beliefs: What this entry believes.
+        routing_state: What this entry believes.
         configuration: How old the configuration is.
         directory: How old what is known of the endpoints is.
         clock: Returns the present time in seconds.
@@ -29,7 +29,7 @@
     """
 
     metrics: Metrics
-    beliefs: Beliefs
+    routing_state: RoutingState
     configuration: Freshness
     directory: Freshness
     clock: Callable[[], float]
@@ -40,17 +40,17 @@
         boot_now = self.boot_clock()
         self.metrics.configuration_age.set(self.configuration.age(boot_now))
         self.metrics.directory_age.set(self.directory.age(boot_now))
-        table = self.beliefs.table
+        table = self.routing_state.table
         self.metrics.version.set(table.version if table else 0)
         self._count_endpoints(self.clock())
-        limited = self.beliefs.limits.limited()
+        limited = self.routing_state.limits.limited()
         self.metrics.limited_endpoints.set(len(limited))
         return self.metrics.answer(question)
 
     def _count_endpoints(self, now: float) -> None:
-        endpoints = self.beliefs.fleet.endpoints.values()
+        endpoints = self.routing_state.fleet.endpoints.values()
         leaving = sum(endpoint.leaving for endpoint in endpoints)
         states = self.metrics.endpoints
         states.labels("present").set(len(endpoints) - leaving)
         states.labels("leaving").set(leaving)
-        states.labels("suspected").set(len(self.beliefs.suspects.excluded(now)))
+        states.labels("suspected").set(len(self.routing_state.suspects.excluded(now)))
--- a/packages/relay/src/lacewingcourse/relay/moving.py
+++ b/packages/relay/src/lacewingcourse/relay/moving.py
@@ -15,9 +15,9 @@
 
     from lacewingcourse.core.pipelines.path import Path
     from lacewingcourse.core.pipelines.retry_budget import RetryBudget
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.job import Job
+    from lacewingcourse.relay.routing_state import RoutingState
     from lacewingcourse.relay.sending import Sender
     from lacewingcourse.relay.stall_watcher import StallWatcher
     from lacewingcourse.relay.stream_state import RunResult, StreamState
@@ -27,14 +27,14 @@
     """What forwards a stream, as far as a move needs it.
 
     Attributes:
-        beliefs: What is believed of the endpoints.
+        routing_state: What is believed of the endpoints.
         sender: What sends.
         budget: Retries that are left.
         stalls: Watches streams for standing still.
         log: Log of decisions.
     """
 
-    beliefs: Beliefs
+    routing_state: RoutingState
     sender: Sender
     budget: RetryBudget
     stalls: StallWatcher
@@ -118,7 +118,7 @@
         sent = await forwarder.sender.send(job, sending, self.fresh, found.connection)
         if isinstance(sent, NotSent):
             return None
-        forwarder.beliefs.loads.begin(path, self.state.demand.tokens)
+        forwarder.routing_state.loads.begin(path, self.state.demand.tokens)
         forwarder.note_send(job, path)
         forwarder.stalls.end(job)
         forwarder.stalls.begin(job, now)
@@ -126,7 +126,7 @@
 
     def end(self, standby: Standby) -> None:
         """Note that a run has ended, or that its stream goes on with it."""
-        self.forwarder.beliefs.loads.end(standby.path, self.state.demand.tokens)
+        self.forwarder.routing_state.loads.end(standby.path, self.state.demand.tokens)
 
     def drop(self, standby: Standby) -> None:
         """Close a run in whose place the other one goes on."""
@@ -161,7 +161,7 @@
         found = self.forwarder.path_now(self.state, besides)
         if not isinstance(found, Refusal):
             return found, True
-        loads = self.forwarder.beliefs.loads
+        loads = self.forwarder.routing_state.loads
         loads.end(path, tokens)
         try:
             found = self.forwarder.path_now(self.state, besides)
--- a/packages/relay/src/lacewingcourse/relay/path_finder.py
+++ b/packages/relay/src/lacewingcourse/relay/path_finder.py
@@ -20,9 +20,9 @@
 
     from lacewingcourse.core.pipelines.path import Path
     from lacewingcourse.core.pipelines.shape import EngineShape
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.connections import ConnectionPool
     from lacewingcourse.relay.job import Job
+    from lacewingcourse.relay.routing_state import RoutingState
 
 #: Share of an endpoint's memory up to which the fleet counts as idle: a stream that is
 #: moved on a mere sign then takes nothing from others.
@@ -34,13 +34,13 @@
     """Finds paths.
 
     Attributes:
-        beliefs: What is believed of the endpoints.
+        routing_state: What is believed of the endpoints.
         rng: Source of draws.
         clock: Returns the present time in seconds.
         pool: Connections to endpoints, None if none are kept.
     """
 
-    beliefs: Beliefs
+    routing_state: RoutingState
     rng: Random
     clock: Callable[[], float]
     pool: ConnectionPool | None = None
@@ -72,7 +72,7 @@
 
     def is_idle(self, job: Job, avoid: Collection[str]) -> bool:
         """Tell whether a path without some endpoints has much room for a request."""
-        shape = self.beliefs.shape(job.service)
+        shape = self.routing_state.shape(job.service)
         if shape is None:
             return False
         demand = demand_of(job, shape)
@@ -82,8 +82,8 @@
 
     def unused(self, addresses: Collection[str]) -> str | None:
         """Return the address of an engine that is not among some, None without one."""
-        endpoints = self.beliefs.fleet.endpoints.values()
-        excluded = self.beliefs.suspects.excluded(self.clock())
+        endpoints = self.routing_state.fleet.endpoints.values()
+        excluded = self.routing_state.suspects.excluded(self.clock())
         found = [
             endpoint.address
             for endpoint in endpoints
@@ -103,8 +103,8 @@
     ) -> Path | Refusal:
         """Return one of the candidate paths, or why none is taken."""
         now = self.clock()
-        paths = self.beliefs.paths(job.service, shape, now)
-        chooser = self.beliefs.chooser(shape)
+        paths = self.routing_state.paths(job.service, shape, now)
+        chooser = self.routing_state.chooser(shape)
         firsts = job.only_firsts
         if firsts is not None:
             paths = [path for path in paths if path.first.endpoint in firsts]
@@ -113,7 +113,7 @@
         def choose(among: list[Path]) -> Path | Refusal:
             return chooser.choose(among, demand, avoid, self.rng, now, share, connected)
 
-        limits = self.beliefs.send_limits
+        limits = self.routing_state.send_limits
         return choose_within_limits(
             limits, job, paths, lambda path: path.first.endpoint, choose, now
         )
--- a/packages/relay/src/lacewingcourse/relay/peers.py
+++ b/packages/relay/src/lacewingcourse/relay/peers.py
@@ -196,14 +196,14 @@
 
     def take(self, news: PeerNews) -> None:
         """Learn from another entry, and fetch what it knows better."""
-        with self.gossip.beliefs.watch.section("news of a peer"):
+        with self.gossip.routing_state.watch.section("news of a peer"):
             self.gossip.take(news)
         time_on_way = self.gossip.time_on_way(news)
         self._compare_configuration(news, time_on_way)
         self._compare_fleet(news, time_on_way)
 
     def _compare_configuration(self, news: PeerNews, time_on_way: float) -> None:
-        table = self.gossip.beliefs.table
+        table = self.gossip.routing_state.table
         version = table.version if table else 0
         if news.version == version and version:
             known_at = self.gossip.boot_clock() - time_on_way - news.version_age
@@ -219,7 +219,7 @@
             age = time_on_way + news.position_age
             freshness = self.gossip.directory.freshness
             freshness.confirm(self.gossip.boot_clock() - age)
-            self.gossip.beliefs.fleet.confirm(self.clock() - age)
+            self.gossip.routing_state.fleet.confirm(self.clock() - age)
 
     def _begin_fetch(self, what: str, news: PeerNews, fetch) -> None:
         """Fetch from an entry unless another fetch of the same has just begun.
@@ -280,7 +280,7 @@
         return Reply(200, encode(self.gossip.news_for(news.name, news.zone)))
 
     def _on_configuration(self, question: Question) -> Reply:
-        table = self.gossip.beliefs.table
+        table = self.gossip.routing_state.table
         if table is None:
             return Reply(404)
         # Other entries ask together, and their links are small: a version in full holds
@@ -294,7 +294,7 @@
         if self.gossip.directory.position is None:
             return Reply(404)
         now = self.clock()
-        fleet = self.gossip.beliefs.fleet
+        fleet = self.gossip.routing_state.fleet
         news = FleetNews(
             position=self.gossip.directory.position,
             age=self.gossip.directory.freshness.age(self.gossip.boot_clock()),
--- a/packages/relay/src/lacewingcourse/relay/placement_duty.py
+++ b/packages/relay/src/lacewingcourse/relay/placement_duty.py
@@ -19,10 +19,10 @@
     from lacewingcourse.core.pipelines.fleet import Endpoint
     from lacewingcourse.core.pipelines.layout import Search
     from lacewingcourse.core.pipelines.shape import EngineShape
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.duty_holder import DutyHolder
     from lacewingcourse.relay.ports import EngineReports, Orders
+    from lacewingcourse.relay.routing_state import RoutingState
 
 #: Seconds between two looks at what is placed.
 PERIOD = 0.25
@@ -69,7 +69,7 @@
         holder: Who has the duty.
         orders: Orders to endpoints.
         reports: What endpoints tell of themselves.
-        beliefs: What is believed of the endpoints.
+        routing_state: What is believed of the endpoints.
         log: Log of decisions.
         clock: Returns the present time in seconds.
         fencing_checked: Whether endpoints refuse orders of earlier holders.
@@ -85,7 +85,7 @@
     holder: DutyHolder
     orders: Orders
     reports: EngineReports
-    beliefs: Beliefs
+    routing_state: RoutingState
     log: DecisionLog
     clock: Callable[[], float]
     fencing_checked: bool
@@ -120,23 +120,23 @@
         """Order what the layout of each service needs."""
         now = self.clock()
         self._see(now)
-        if self.beliefs.table is None:
+        if self.routing_state.table is None:
             return
-        for service in self.beliefs.table.services.values():
+        for service in self.routing_state.table.services.values():
             if service.shape is not None:
                 await self._place_service(service.name, service.shape, now)
 
     def _see(self, now: float) -> None:
         """Note new endpoints, and orders whose effect shows."""
-        present = self.beliefs.fleet.endpoints
+        present = self.routing_state.fleet.endpoints
         new = set(present) - self.known
         if len(new) > LATE_SHARE * len(present):
             self.grown_at = now
         self.known = set(present)
         for endpoint_id in set(self.accepted) - self.known:
             del self.accepted[endpoint_id]
-        if self.beliefs.fleet.revision != self.revision:
-            self.revision = self.beliefs.fleet.revision
+        if self.routing_state.fleet.revision != self.revision:
+            self.revision = self.routing_state.fleet.revision
             self.changed_at = now
             self.turns.clear()
         for endpoint_id, order in list(self.pending.items()):
@@ -148,7 +148,7 @@
     async def _place_service(
         self, service: str, shape: EngineShape, now: float
     ) -> None:
-        endpoints = [self._expected(e) for e in self.beliefs.members(service)]
+        endpoints = [self._expected(e) for e in self.routing_state.members(service)]
         holds_nothing = all(e.layers is None for e in endpoints)
         if holds_nothing and now - self.grown_at < SETTLE:
             return
@@ -189,7 +189,7 @@
         Loads beside one another share the store of weights, so that all take as long
         as if one followed the other; those of an empty fleet are much faster.
         """
-        known = self.beliefs.fleet.endpoints
+        known = self.routing_state.fleet.endpoints
         moved = [a for a in plan if a.endpoint in known and known[a.endpoint].layers]
         return sum(len(assignment.layers) for assignment in moved)
 
@@ -205,7 +205,7 @@
         Each group is looked at again whenever the quiet has lasted twice as long.
         """
         ids = {endpoint.id for endpoint in endpoints}
-        suspected = ids & self.beliefs.suspects.excluded(now)
+        suspected = ids & self.routing_state.suspects.excluded(now)
         quiet = now - self.changed_at
         if self.pending or suspected or quiet < QUIET:
             return []
@@ -216,7 +216,7 @@
             return []
         self.turns[service] = turn + 1
         found = await in_slices(search_improvement(endpoints, shape, quiet, turn))
-        return found if self.beliefs.fleet.revision == self.revision else []
+        return found if self.routing_state.fleet.revision == self.revision else []
 
     async def _may_order(self) -> bool:
         """Tell whether this entry still has the duty.
@@ -233,7 +233,7 @@
         if found == self.holder.lease:
             return True
         if isinstance(found, Unavailable):
-            age = self.clock() - self.beliefs.fleet.known_at
+            age = self.clock() - self.routing_state.fleet.known_at
             return self.holder.held and age < TRUSTED_AGE
         if isinstance(found, Lease):
             self.holder.follow(found, self.clock())
@@ -247,14 +247,14 @@
         return attrs.evolve(endpoint, layers=order.assignment.layers)
 
     async def _order(self, assignment: Assignment, length: float, now: float) -> None:
-        endpoint = self.beliefs.fleet.endpoints.get(assignment.endpoint)
+        endpoint = self.routing_state.fleet.endpoints.get(assignment.endpoint)
         lease = self.holder.lease
         if endpoint is None or lease is None:
             return
         self.pending[endpoint.id] = PendingOrder(assignment, now + length)
         if endpoint.layers is not None and len(endpoint.layers):
             # It takes nothing new for the layers that it gives up.
-            self.beliefs.suspects.suspect(endpoint.id, "ordered to move", now)
+            self.routing_state.suspects.suspect(endpoint.id, "ordered to move", now)
         accepted = await self._accepted_by(endpoint)
         outcome = await self.orders.place(
             endpoint, assignment.layers, lease.fencing, accepted
--- a/packages/relay/src/lacewingcourse/relay/readiness.py
+++ b/packages/relay/src/lacewingcourse/relay/readiness.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lacewingcourse.relay.beliefs import Beliefs
+    from lacewingcourse.relay.routing_state import RoutingState
 
 
 #: Seconds of the time for ending that are kept for the end itself.
@@ -23,7 +23,7 @@
     """Whether this entry is ready.
 
     Attributes:
-        beliefs: What is believed of the deployment.
+        routing_state: What is believed of the deployment.
         grace: Seconds in which the process must have ended once it is asked to.
         takes_last: Tells whether a request is taken while the process ends, see
             `shutdown.LAST_REQUESTS`.
@@ -31,7 +31,7 @@
         closed: Whether nothing is taken any more, since the process ends at once.
     """
 
-    beliefs: Beliefs
+    routing_state: RoutingState
     grace: float
     takes_last: Callable[[AnswerTime, float], bool] = take_until_redirected
     leaving_since: float | None = None
@@ -79,7 +79,7 @@
             until: Time at which the route's time or the caller's is over.
         """
         return AnswerTime(
-            expected=self.beliefs.durations.expected(route),
+            expected=self.routing_state.durations.expected(route),
             limit=until - now,
             grace=self.grace,
             since_asked=now - self.leaving_since,
@@ -90,4 +90,4 @@
 
         Without configuration every request would be refused.
         """
-        return not self.leaving and self.beliefs.table is not None
+        return not self.leaving and self.routing_state.table is not None
--- a/packages/relay/src/lacewingcourse/relay/beliefs.py
+++ b/packages/relay/src/lacewingcourse/relay/routing_state.py
@@ -27,7 +27,7 @@
 
 #: Figures of a service's engines for which paths are kept. Requests go on by those of
 #: the version that they came under, beside others of a newer one.
-MOST_SHAPES = 2
+CACHED_SHAPES = 2
 
 
 @attrs.frozen
@@ -48,7 +48,7 @@
 
 
 @attrs.define
-class Beliefs:
+class RoutingState:
     """Everything that decisions about requests are made from.
 
     Attributes:
@@ -134,7 +134,7 @@
         with self.watch.section("candidate paths"):
             paths = candidate_paths(self.usable(service, now), shape)
         kept = [CandidateSet(revision, excluded, shape, paths), *known]
-        self.candidates[service] = kept[:MOST_SHAPES]
+        self.candidates[service] = kept[:CACHED_SHAPES]
         # They keep the figures of the paths that these replace.
         self.choosers.pop(shape.model, None)
         return paths
@@ -152,5 +152,5 @@
         endpoints = self.fleet.endpoints
         found = PathChooser(shape, endpoints, self.loads, self.links, self.speeds)
         kept = [(revision, found), *known]
-        self.choosers[shape.model] = kept[:MOST_SHAPES]
+        self.choosers[shape.model] = kept[:CACHED_SHAPES]
         return found
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -40,10 +40,10 @@
     from lacewingcourse.core.pipelines.retry_budget import RetryBudget
     from lacewingcourse.core.pipelines.shape import EngineShape
     from lacewingcourse.relay.admission import Admission
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.job import Job
     from lacewingcourse.relay.path_finder import PathFinder
+    from lacewingcourse.relay.routing_state import RoutingState
     from lacewingcourse.relay.stall_watcher import StallWatcher
     from lacewingcourse.relay.upstream import Exchange, Head
 
@@ -53,7 +53,7 @@
     """Sends streams along paths and passes their events on.
 
     Attributes:
-        beliefs: What is believed of the endpoints.
+        routing_state: What is believed of the endpoints.
         finder: Finds paths.
         sender: What sends.
         budget: Repeats that are left.
@@ -66,7 +66,7 @@
             retry is left.
     """
 
-    beliefs: Beliefs
+    routing_state: RoutingState
     finder: PathFinder
     sender: Sender
     budget: RetryBudget
@@ -147,7 +147,7 @@
         refusal = self.refused_now(job)
         if refusal is not None:
             return refusal
-        limits = self.beliefs.send_limits
+        limits = self.routing_state.send_limits
         limits.release(job)
         found = self.finder.find(job, state.shape, state.demand, besides)
         if isinstance(found, Refusal):
@@ -173,7 +173,7 @@
         """Note the time that a prompt takes on the links of its path."""
         for pair in path.crossings:
             seconds = state.shape.transfer_seconds(state.demand.prompt)
-            self.beliefs.links.add(pair, seconds, now)
+            self.routing_state.links.add(pair, seconds, now)
 
     async def _run(
         self, state: StreamState, path: Path, replacement: Replacement | None
@@ -187,7 +187,7 @@
         """
         job = state.job
         job.path = path
-        self.beliefs.loads.begin(path, state.demand.tokens)
+        self.routing_state.loads.begin(path, state.demand.tokens)
         try:
             fresh = not job.route.retry_safety.may_retry
             result = await self._relay(state, fresh, replacement)
@@ -205,7 +205,7 @@
                 return RunResult(StreamEnd.LOST, result.reason, first_lost=True)
             return again
         finally:
-            self.beliefs.loads.end(path, state.demand.tokens)
+            self.routing_state.loads.end(path, state.demand.tokens)
 
     async def _relay(
         self, state: StreamState, fresh: bool, replacement: Replacement | None = None
@@ -274,15 +274,15 @@
         job.sends += 1
         job.firsts.add(path.first.endpoint)
         job.path = path
-        age = self.sender.clock() - self.beliefs.fleet.known_at
-        limit = self.beliefs.limits.named(path.first.endpoint)
+        age = self.sender.clock() - self.routing_state.fleet.known_at
+        limit = self.routing_state.limits.named(path.first.endpoint)
         self.log.sent(job, path.first.endpoint, age, job.waited, limit)
 
     def unreachable(self, job: Job, path: Path) -> None:
         """Leave out the first endpoint of a path, to which no connection was made."""
         endpoint = path.first.endpoint
         reason = Unsent.UNREACHABLE.value
-        self.beliefs.suspects.suspect(endpoint, reason, self.sender.clock())
+        self.routing_state.suspects.suspect(endpoint, reason, self.sender.clock())
         job.avoid.add(endpoint)
 
     def _unsent(self, sent: NotSent) -> RunResult | None:
@@ -316,13 +316,13 @@
             if is_full(result.misdirected, filled):
                 self.stalls.ask(at_fault[0], now)
             else:
-                self.beliefs.suspects.suspect(endpoint, result.reason, now)
+                self.routing_state.suspects.suspect(endpoint, result.reason, now)
                 # Its word reaches the others in a round of news; until then each of
                 # them sends it requests, and every one costs a retry.
                 self.on_suspect()
         elif result.first_lost:
             job.avoid.add(path.first.endpoint)
-            self.beliefs.crashes.strike(job.fingerprint, path.first.endpoint, now)
+            self.routing_state.crashes.strike(job.fingerprint, path.first.endpoint, now)
         elif result.end is StreamEnd.STALLED:
             if not path.uses(job.avoid):
                 job.avoid.update(part.endpoint for part in path.parts)
@@ -333,10 +333,10 @@
 
     def _filled(self, job: Job, part: Part) -> float:
         """Return the share of a part's memory that is believed to be taken."""
-        shape = self.beliefs.shape(job.service)
+        shape = self.routing_state.shape(job.service)
         if shape is None:
             return 0.0
-        return self.beliefs.chooser(shape).filled(part)
+        return self.routing_state.chooser(shape).filled(part)
 
     def _kind(self, result: RunResult) -> ErrorKind:
         if result.end is StreamEnd.REJECTED:
@@ -377,4 +377,4 @@
         draw = self.rng.random()
         if kind is ErrorKind.RETRIES_EXHAUSTED:
             return retry_after_denied(draw)
-        return retry_after(self.beliefs.durations.usual(job.route.name), draw)
+        return retry_after(self.routing_state.durations.usual(job.route.name), draw)
--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -6,10 +6,10 @@
 
 from lacewingcourse.core.pipelines.freshness import Freshness
 from lacewingcourse.core.pipelines.peers import PeerBook, Role
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.gossip import Gossip
 from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
 from lacewingcourse.relay.peers import PERIOD
+from lacewingcourse.relay.routing_state import RoutingState
 
 
 class Clock:
@@ -64,7 +64,7 @@
             name,
             name,
             book,
-            Beliefs(),
+            RoutingState(),
             follower,
             follower,
             self.make_holder(name, book, self.clock),
@@ -90,7 +90,7 @@
             self.clock.now += PERIOD
             for entry in list(self.entries.values()):
                 entry.book.expire(self.clock.now)
-                entry.beliefs.loads.expire(self.clock.now)
+                entry.routing_state.loads.expire(self.clock.now)
                 for peer in entry.book.partners(self.clock.now):
                     self.exchange(entry, peer.name, peer.zone)
 
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/restarts.py
@@ -16,7 +16,6 @@
 from lacewingcourse.core.pipelines.routing import Organisation, RetrySafety
 from lacewingcourse.core.pipelines.shape import EngineShape
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.endings import Endings
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.gossip import Gossip
@@ -24,6 +23,7 @@
 from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
 from lacewingcourse.relay.peers import PERIOD
 from lacewingcourse.relay.readiness import Readiness
+from lacewingcourse.relay.routing_state import RoutingState
 
 from .routes import route_of
 from .stream_play import CallerStub, Decisions
@@ -150,9 +150,9 @@
 
     def start(self, name: str) -> None:
         """Start a process of an entry, and let it speak."""
-        beliefs = Beliefs()
+        routing_state = RoutingState()
         route = route_of("rooms", RetrySafety.RESUMABLE_STREAM)
-        beliefs.table = SimpleNamespace(
+        routing_state.table = SimpleNamespace(
             version=1,
             services={"rooms": SimpleNamespace(shape=self.shape)},
             route=lambda host, path: route,
@@ -161,14 +161,14 @@
         )
         for _ in range(64):
             events = self.lengths(self.rng)
-            beliefs.durations.note("rooms", events * INTERVAL)
-            beliefs.durations.note_stream("rooms", INTERVAL, INTERVAL)
-        process = self._process(name, beliefs)
+            routing_state.durations.note("rooms", events * INTERVAL)
+            routing_state.durations.note_stream("rooms", INTERVAL, INTERVAL)
+        process = self._process(name, routing_state)
         self.processes[name] = process
         asyncio.ensure_future(self._speak(name, process))
 
-    def _process(self, name: str, beliefs: Beliefs) -> Process:
-        readiness = Readiness(beliefs, GRACE, LAST_REQUESTS.get("redirected"))
+    def _process(self, name: str, routing_state: RoutingState) -> Process:
+        readiness = Readiness(routing_state, GRACE, LAST_REQUESTS.get("redirected"))
         codec = SimpleNamespace(
             decode=decode_request,
             refusal=lambda refusal, request: (
@@ -181,7 +181,7 @@
         for other in self.names:
             book.learn(other, other, self.clock())
         gateway = Gateway(
-            beliefs,
+            routing_state,
             codec,
             SimpleNamespace(budget=SimpleNamespace(on_request=lambda *args: None)),
             SimpleNamespace(serve=write_events),
@@ -200,7 +200,7 @@
             name,
             name,
             book,
-            beliefs,
+            routing_state,
             follower,
             follower,
             SimpleNamespace(lease=None, released=0, hear=lambda *news: None),
--- a/packages/relay/tests/relay/stream_play.py
+++ b/packages/relay/tests/relay/stream_play.py
@@ -17,7 +17,6 @@
 from lacewingcourse.core.pipelines.shape import EngineShape, Layers
 from lacewingcourse.core.pipelines.speed import SpeedEstimator
 from lacewingcourse.relay.admission import Admission
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.connections import (
     ConnectionPool,
     NotSent,
@@ -25,6 +24,7 @@
 )
 from lacewingcourse.relay.job import Job
 from lacewingcourse.relay.ports import AnswerHead, EngineReport, Standing
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.sending import Sender
 from lacewingcourse.relay.stall_watcher import StallWatcher
 from lacewingcourse.relay.streams import StreamForwarder
@@ -203,9 +203,9 @@
         self.pool = ConnectionPool()
         self.log = Decisions()
         self.budget = RetryBudget(0.0, 10.0, self.slack)
-        self.beliefs = Beliefs()
+        self.routing_state = RoutingState()
         service = SimpleNamespace(shape=self.shape)
-        self.beliefs.table = SimpleNamespace(services={"rooms": service})
+        self.routing_state.table = SimpleNamespace(services={"rooms": service})
 
     @property
     def firsts(self) -> list[str]:
@@ -223,7 +223,7 @@
         """
         watcher = StallWatcher(
             SimpleNamespace(report=self._report),
-            self.beliefs.suspects,
+            self.routing_state.suspects,
             SpeedEstimator(),
             SimpleNamespace(is_idle=lambda job, avoid: False),
             self.clock,
@@ -232,7 +232,7 @@
             lambda name, born: False,
         )
         forwarder = StreamForwarder(
-            self.beliefs,
+            self.routing_state,
             SimpleNamespace(find=self._find),
             self,
             self.budget,
@@ -318,7 +318,7 @@
 
     @property
     def limits(self) -> SendLimits:
-        return self.beliefs.send_limits
+        return self.routing_state.send_limits
 
     def start(self, job, sending, connection) -> Run:
         name = sending.path.first.endpoint
--- a/packages/relay/tests/relay/test_caller.py
+++ b/packages/relay/tests/relay/test_caller.py
@@ -14,7 +14,6 @@
 from tornado.httpserver import HTTPServer
 from tornado.httputil import HTTPHeaders
 
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.caller import CallerConnections
 from lacewingcourse.relay.connections import (
     Connection,
@@ -23,6 +22,7 @@
     Unsent,
 )
 from lacewingcourse.relay.gateway import Gateway
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.upstream import (
     Data,
     End,
@@ -281,7 +281,7 @@
         refusal=lambda refusal, request: (refusal.answer.status, HTTPHeaders(), b""),
     )
     return Gateway(
-        Beliefs(table=table),
+        RoutingState(table=table),
         codec,
         SimpleNamespace(
             budget=SimpleNamespace(on_request=lambda service, now: None),
--- a/packages/relay/tests/relay/test_calls.py
+++ b/packages/relay/tests/relay/test_calls.py
@@ -21,7 +21,6 @@
 from lacewingcourse.core.pipelines.retry_budget import RetryBudget
 from lacewingcourse.core.pipelines.routing import Organisation, RetrySafety
 from lacewingcourse.core.pipelines.send_limits import SendLimits
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.calls import CallForwarder
 from lacewingcourse.relay.connections import (
     ConnectionPool,
@@ -30,6 +29,7 @@
 )
 from lacewingcourse.relay.job import Job
 from lacewingcourse.relay.ports import AnswerHead, Standing
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.sending import Sender, WholeAnswer
 from lacewingcourse.relay.upstream import (
     Data,
@@ -99,7 +99,7 @@
         self.sends: list[Send] = []
         self.sent_to: list[str] = []
         self.budget = RetryBudget(0.0, 10.0, self.slack)
-        self.beliefs = Beliefs()
+        self.routing_state = RoutingState()
         self.pool = ConnectionPool()
         self.codec = SimpleNamespace(head=self._head)
 
@@ -110,9 +110,9 @@
         """Serve the call; return its answer, or how it ended."""
         for number in range(self.endpoints):
             name = f"e{number}"
-            self.beliefs.fleet.put(Endpoint(name, "desk", f"{name}:1", "east", 6))
+            self.routing_state.fleet.put(Endpoint(name, "desk", f"{name}:1", "east", 6))
         forwarder = CallForwarder(
-            self.beliefs,
+            self.routing_state,
             self,
             self.budget,
             "east",
@@ -147,7 +147,7 @@
 
     @property
     def limits(self) -> SendLimits:
-        return self.beliefs.send_limits
+        return self.routing_state.send_limits
 
     def start(self, job, sending, connection) -> Send:
         seconds = QUICK if self.sends else self.slow
@@ -201,7 +201,7 @@
     ended = play(played.serve())
     assert ended.kind is kind
     assert ended.outcome is Outcome.NOT_RUN
-    assert played.beliefs.suspects.excluded(0.0) == set()
+    assert played.routing_state.suspects.excluded(0.0) == set()
 
 
 def test_a_call_that_no_endpoint_ran_is_refused_as_such():
@@ -228,7 +228,7 @@
 def name_limit(played, *names):
     """Let endpoints name limits, without a permit at hand."""
     for name in names:
-        played.beliefs.limits.observe(name, 2.0, 0.0, 0.0)
+        played.routing_state.limits.observe(name, 2.0, 0.0, 0.0)
 
 
 def test_a_call_goes_past_an_endpoint_that_is_at_its_limit():
@@ -252,7 +252,7 @@
     played = CallPlay()
     name_limit(played, "e0", "e1")
     grant = Grant("i", (0.0,), 10.0)
-    played.beliefs.send_limits.sharing.take("e0", grant, "i", 0.0, 0.0, 0.0)
+    played.routing_state.send_limits.sharing.take("e0", grant, "i", 0.0, 0.0, 0.0)
     assert isinstance(play(played.serve()), WholeAnswer)
     assert played.sent_to == ["e0"]
 
@@ -262,7 +262,7 @@
     played = CallPlay(endpoints=1, drops=True, slow=QUICK)
     name_limit(played, "e0")
     grant = Grant("i", (0.0,), 10.0)
-    played.beliefs.send_limits.sharing.take("e0", grant, "i", 0.0, 0.0, 0.0)
+    played.routing_state.send_limits.sharing.take("e0", grant, "i", 0.0, 0.0, 0.0)
     ended = play(played.serve())
     assert ended.outcome is Outcome.UNKNOWN
     assert played.sent_to == ["e0"]
--- a/packages/relay/tests/relay/test_configuration_follower.py
+++ b/packages/relay/tests/relay/test_configuration_follower.py
@@ -10,10 +10,10 @@
 
 from lacewingcourse.core.pipelines.freshness import Freshness, PropagationBudget
 from lacewingcourse.relay.application import Application
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.followers import ConfigurationFollower
 from lacewingcourse.relay.ports import ConfigurationNews
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.staleness import StalenessGuard
 
 
@@ -57,7 +57,7 @@
     source = Source()
     return ConfigurationFollower(
         source,
-        Beliefs(),
+        RoutingState(),
         log,
         lambda: source.now,
         lambda: 1,
@@ -76,7 +76,7 @@
 
 def test_a_read_that_more_versions_follow_does_not_count_as_the_newest(follower):
     read(follower, ConfigurationNews(table(3), records=1, behind=7))
-    assert follower.beliefs.table.version == 3
+    assert follower.routing_state.table.version == 3
     assert follower.freshness.due(1, 100.0)
 
 
--- a/packages/relay/tests/relay/test_endings.py
+++ b/packages/relay/tests/relay/test_endings.py
@@ -12,12 +12,12 @@
 from lacewingcourse.core.pipelines.peers import PeerBook
 from lacewingcourse.core.pipelines.routing import RetrySafety
 from lacewingcourse.relay import decisions
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.decisions import DecisionLog
 from lacewingcourse.relay.endings import Endings
 from lacewingcourse.relay.leaving import BALANCER_DELAY
 from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
 from lacewingcourse.relay.readiness import END_MARGIN, Readiness
+from lacewingcourse.relay.routing_state import RoutingState
 
 from .network import Network
 from .restarts import GRACE, INTERVAL, MAX_EVENTS, Restarts
@@ -43,13 +43,13 @@
     def make(most_answer=0, events=0, received=NOW, until=500.0, routed=True, **told):
         caller = Caller(ended=False, gone=False)
         vars(caller).update(told)
-        beliefs = Beliefs()
-        beliefs.table = SimpleNamespace(
+        routing_state = RoutingState()
+        routing_state.table = SimpleNamespace(
             services={"rooms": SimpleNamespace(shape=shape)}
         )
         for _ in range(20):
-            beliefs.durations.note("rooms", 2.0)
-            beliefs.durations.note_stream("rooms", 0.5, INTERVAL)
+            routing_state.durations.note("rooms", 2.0)
+            routing_state.durations.note_stream("rooms", 0.5, INTERVAL)
         job = SimpleNamespace(
             request=SimpleNamespace(most_answer=most_answer, received_at=received),
             route=route_of("rooms", RetrySafety.RESUMABLE_STREAM),
@@ -57,10 +57,12 @@
             events=events,
             until=until,
         )
-        readiness = Readiness(beliefs, GRACE)
+        readiness = Readiness(routing_state, GRACE)
         readiness.leave(ASKED)
         gateway = SimpleNamespace(
-            beliefs=beliefs, jobs={caller: job} if routed else {}, serving=set()
+            routing_state=routing_state,
+            jobs={caller: job} if routed else {},
+            serving=set(),
         )
         callers = SimpleNamespace(open={caller})
         return Endings(readiness, callers, gateway, PeerBook("a"), lambda: NOW)
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -25,7 +25,7 @@
 def give_loads(network: Network) -> None:
     """Let each entry run one request on one endpoint."""
     for entry in network.entries.values():
-        entry.beliefs.loads.begin_call("x")
+        entry.routing_state.loads.begin_call("x")
 
 
 def test_a_few_entries_all_know_one_another():
@@ -59,7 +59,7 @@
     network.rounds(15)
     give_loads(network)
     network.rounds(6)
-    loads = [e.beliefs.loads.of("x").requests for e in network.entries.values()]
+    loads = [e.routing_state.loads.of("x").requests for e in network.entries.values()]
     assert loads == [len(network.entries)] * len(network.entries)
 
 
@@ -95,26 +95,28 @@
 
 
 def test_a_suspicion_reaches_all_and_dies_out(large):
-    large.entries["c-05"].beliefs.suspects.suspect("x", "reset", large.clock())
+    large.entries["c-05"].routing_state.suspects.suspect("x", "reset", large.clock())
     large.rounds(4)
     left_out = [
         name
         for name, entry in large.entries.items()
-        if "x" in entry.beliefs.suspects.excluded(large.clock())
+        if "x" in entry.routing_state.suspects.excluded(large.clock())
     ]
     assert len(left_out) == 28
     large.rounds(20)
     for entry in large.entries.values():
-        assert entry.beliefs.suspects.excluded(large.clock()) == set()
+        assert entry.routing_state.suspects.excluded(large.clock()) == set()
 
 
 def test_a_limit_and_its_end_reach_all(large):
     for named in (2.5, NO_LIMIT):
         for entry in (large.entries["c-05"], large.entries["a-07"]):
             now = large.clock()
-            entry.beliefs.limits.observe("x", named, now - 0.01, now)
+            entry.routing_state.limits.observe("x", named, now - 0.01, now)
         large.rounds(4)
-        told = {entry.beliefs.limits.named("x") for entry in large.entries.values()}
+        told = {
+            entry.routing_state.limits.named("x") for entry in large.entries.values()
+        }
         assert told == {named}
 
 
@@ -133,11 +135,13 @@
 
 def test_losses_under_a_request_reach_all(large):
     for number, name in enumerate(["a-05", "b-05", "c-05"]):
-        crashes = large.entries[name].beliefs.crashes
+        crashes = large.entries[name].routing_state.crashes
         crashes.strike("r", f"x{number}", large.clock())
     large.rounds(5)
     now = large.clock()
-    assert all(e.beliefs.crashes.is_refused("r", now) for e in large.entries.values())
+    assert all(
+        e.routing_state.crashes.is_refused("r", now) for e in large.entries.values()
+    )
 
 
 def test_entries_find_new_hubs_after_those_of_a_zone_are_gone(large):
@@ -148,7 +152,7 @@
     assert {"b-02", "b-03"} <= hubs
     give_loads(large)
     large.rounds(6)
-    loads = {e.beliefs.loads.of("x").requests for e in large.entries.values()}
+    loads = {e.routing_state.loads.of("x").requests for e in large.entries.values()}
     assert loads == {26}
 
 
@@ -159,7 +163,7 @@
     assert set(large.roles().values()) == {Role.EQUAL}
     give_loads(large)
     large.rounds(6)
-    loads = {e.beliefs.loads.of("x").requests for e in large.entries.values()}
+    loads = {e.routing_state.loads.of("x").requests for e in large.entries.values()}
     assert loads == {8}
 
 
--- a/packages/relay/tests/relay/test_housekeeping.py
+++ b/packages/relay/tests/relay/test_housekeeping.py
@@ -11,9 +11,9 @@
 from lacewingcourse.core.pipelines.retry_budget import RetryBudget
 from lacewingcourse.core.pipelines.speed import ESTIMATE_KEPT
 from lacewingcourse.relay import housekeeping
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.connections import ConnectionPool
 from lacewingcourse.relay.housekeeping import FREEZE, Housekeeping
+from lacewingcourse.relay.routing_state import RoutingState
 
 
 @pytest.fixture
@@ -25,20 +25,22 @@
         book = PeerBook("a")
         pool = ConnectionPool()
         issuer = PermitIssuer("a")
-        return Housekeeping(Beliefs(), pool, book, budget, issuer, lambda: 0.0, on_thaw)
+        return Housekeeping(
+            RoutingState(), pool, book, budget, issuer, lambda: 0.0, on_thaw
+        )
 
     return make
 
 
 def test_what_is_over_is_forgotten(make_house):
     house = make_house()
-    house.beliefs.speeds.tell("e", 5.0, now=0.0)
-    house.beliefs.links.from_peer("b", {("east", "west"): 0.3})
-    house.beliefs.loads.from_peer("b", {}, now=0.0)
+    house.routing_state.speeds.tell("e", 5.0, now=0.0)
+    house.routing_state.links.from_peer("b", {("east", "west"): 0.3})
+    house.routing_state.loads.from_peer("b", {}, now=0.0)
     house.forget(ESTIMATE_KEPT + 1.0)
-    assert house.beliefs.speeds.members == {}
-    assert house.beliefs.loads.peers == {}
-    assert house.beliefs.links.peers == {}
+    assert house.routing_state.speeds.members == {}
+    assert house.routing_state.loads.peers == {}
+    assert house.routing_state.links.peers == {}
 
 
 def test_the_budget_is_shared_by_the_most_entries_that_were_alive(make_house):
--- a/packages/relay/tests/relay/test_last_moment.py
+++ b/packages/relay/tests/relay/test_last_moment.py
@@ -11,11 +11,11 @@
 from tornado.httputil import HTTPHeaders
 
 from lacewingcourse.relay import leaving
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.caller import CallerConnections
 from lacewingcourse.relay.front import Front
 from lacewingcourse.relay.leaving import Departure
 from lacewingcourse.relay.readiness import Readiness
+from lacewingcourse.relay.routing_state import RoutingState
 
 from .test_caller import REQUEST, run
 from .test_leaving import Lines, entry_with
@@ -54,7 +54,7 @@
     def __attrs_post_init__(self) -> None:
         self.gateway = entry_with(self._pass_on, Lines())
         self.clock = self.gateway.clock
-        readiness = self.gateway.readiness = Readiness(Beliefs(), self.grace)
+        readiness = self.gateway.readiness = Readiness(RoutingState(), self.grace)
         self.callers = CallerConnections(
             self.gateway.serve, self.clock, lambda: readiness.leaving
         )
--- a/packages/relay/tests/relay/test_last_requests.py
+++ b/packages/relay/tests/relay/test_last_requests.py
@@ -25,10 +25,10 @@
 
 from lacewingcourse.core.pipelines.routing import Organisation, RetrySafety
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.leaving import Departure
 from lacewingcourse.relay.readiness import Readiness
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.settings import RelaySettings
 
 from .routes import route_of
@@ -149,16 +149,16 @@
 
     def make(choice: str) -> LeavingEntry:
         clock = asyncio.get_running_loop().time
-        beliefs = Beliefs()
+        routing_state = RoutingState()
         figures = attrs.evolve(shape, event_tokens=EVENT_TOKENS)
         route = route_of("rooms", RetrySafety.RESUMABLE_STREAM)
-        beliefs.table = SimpleNamespace(
+        routing_state.table = SimpleNamespace(
             services={"rooms": SimpleNamespace(shape=figures)},
             route=lambda host, path: route,
             organisation=lambda found, key: Organisation(""),
             keys=None,
         )
-        readiness = Readiness(beliefs, GRACE, LAST_REQUESTS.get(choice))
+        readiness = Readiness(routing_state, GRACE, LAST_REQUESTS.get(choice))
         codec = SimpleNamespace(
             decode=decode,
             refusal=lambda refusal, request: (
@@ -170,7 +170,7 @@
         streams = SimpleNamespace(serve=write_events)
         calls = SimpleNamespace(budget=SimpleNamespace(on_request=lambda *args: None))
         gateway = Gateway(
-            beliefs,
+            routing_state,
             codec,
             calls,
             streams,
--- a/packages/relay/tests/relay/test_leaving.py
+++ b/packages/relay/tests/relay/test_leaving.py
@@ -9,10 +9,10 @@
 from tornado.httputil import HTTPHeaders
 
 from lacewingcourse.relay.application import Application
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.leaving import Departure
 from lacewingcourse.relay.readiness import Readiness
+from lacewingcourse.relay.routing_state import RoutingState
 
 from .test_caller import REQUEST, gateway, read_answer, run, serving_connections
 
@@ -77,7 +77,7 @@
 
 async def leave(entry, connections) -> None:
     """Ask an entry to end and wait until it has."""
-    readiness = Readiness(Beliefs(), GRACE)
+    readiness = Readiness(RoutingState(), GRACE)
     readiness.leave(entry.clock())
     await Departure(readiness, connections, entry, entry.clock).carry_out()
 
@@ -264,8 +264,8 @@
 
     async def test():
         entry = entry_with(None, lines)
-        entry.beliefs.table = None
-        entry.readiness = Readiness(Beliefs(), GRACE)
+        entry.routing_state.table = None
+        entry.readiness = Readiness(RoutingState(), GRACE)
         # The time for which it is held at the most is never over.
         entry.clock = lambda: 0.0
         async with serving_connections(entry.serve) as (address, _):
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -124,7 +124,7 @@
     ended = play(played.serve((IN_PAUSE, played.dies("b"))))
     assert ended is None
     assert played.caller.body == whole_answer()
-    assert played.beliefs.crashes.losses(played.ended_at) == {}
+    assert played.routing_state.crashes.losses(played.ended_at) == {}
 
 
 def test_a_request_that_no_engine_ran_is_refused_as_such(stream):
@@ -168,7 +168,7 @@
     """
     played = stream(Engine())
     for seconds in (2.0,) * 20 + (6.0,) * 2:
-        played.beliefs.durations.note("rooms", seconds)
+        played.routing_state.durations.note("rooms", seconds)
     played._find = lambda *asked: Refusal(ErrorKind.OVERLOADED, "no path has memory")
     ended = play(played.serve())
     least, most = RETRY_AFTER_ANSWERS
@@ -186,7 +186,7 @@
     )
     assert play(played.serve()) is None
     assert played.caller.body == whole_answer()
-    assert played.beliefs.crashes.losses(played.ended_at) == {}
+    assert played.routing_state.crashes.losses(played.ended_at) == {}
 
 
 def test_an_answer_waits_for_a_file_descriptor(stream):
@@ -201,7 +201,7 @@
     ended = play(played.serve())
     assert ended.kind is ErrorKind.OVERLOADED
     assert ended.outcome is Outcome.NOT_RUN
-    assert played.beliefs.suspects.excluded(played.ended_at) == set()
+    assert played.routing_state.suspects.excluded(played.ended_at) == set()
 
 
 def test_a_defect_stops_what_an_endpoint_does_for_a_stream(stream):
--- a/packages/relay/tests/relay/test_news_age.py
+++ b/packages/relay/tests/relay/test_news_age.py
@@ -23,7 +23,7 @@
     """Return two entries that have the same version and have not spoken."""
     network = Network({"a": 2})
     for entry in network.entries.values():
-        entry.beliefs.table = VERSION
+        entry.routing_state.table = VERSION
         # A follower of its own for each: all of a network share one.
         entry.configuration = entry.directory = SimpleNamespace(
             freshness=Freshness(1.0, 0.1), position=None, reachable=True
@@ -69,14 +69,14 @@
     network.rounds(2)
     teller, told = network.entries[TELLER], network.entries[TOLD]
     now = network.clock()
-    teller.beliefs.limits.observe("x", 9.0, now - 0.01, now)
+    teller.routing_state.limits.observe("x", 9.0, now - 0.01, now)
     news = teller.news_for(TOLD, "a")
     network.clock.now += 1.0
     now = network.clock()
-    told.beliefs.limits.observe("x", 2.0, now - 0.01, now)
+    told.routing_state.limits.observe("x", 2.0, now - 0.01, now)
     network.clock.now += 0.5
     deliver(network, news)
-    assert told.beliefs.limits.named("x") == 2.0
+    assert told.routing_state.limits.named("x") == 2.0
 
 
 def test_an_entry_that_fell_silent_is_not_taken_for_alive_by_late_news(network):
--- a/packages/relay/tests/relay/test_path_finder.py
+++ b/packages/relay/tests/relay/test_path_finder.py
@@ -10,8 +10,8 @@
 from lacewingcourse.core.errors import ErrorKind, Refusal
 from lacewingcourse.core.pipelines.choice import Demand
 from lacewingcourse.core.pipelines.load import Load
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.path_finder import PathFinder
+from lacewingcourse.relay.routing_state import RoutingState
 
 DEMAND = Demand(1_000, 200)
 
@@ -19,11 +19,13 @@
 @pytest.fixture
 def finder(shape, small):
     """What finds paths over two holders of each of two layers."""
-    beliefs = Beliefs()
+    routing_state = RoutingState()
     for name, layer in zip("abcd", (0, 0, 1, 1), strict=True):
-        beliefs.fleet.put(small(name, layer))
-    beliefs.table = SimpleNamespace(services={"rooms": SimpleNamespace(shape=shape)})
-    return PathFinder(beliefs, Random(1), lambda: 0.0)
+        routing_state.fleet.put(small(name, layer))
+    routing_state.table = SimpleNamespace(
+        services={"rooms": SimpleNamespace(shape=shape)}
+    )
+    return PathFinder(routing_state, Random(1), lambda: 0.0)
 
 
 class Request(SimpleNamespace):
@@ -49,7 +51,7 @@
 def fill(finder, *names):
     """Take all memory of some endpoints."""
     for name in names:
-        finder.beliefs.loads.from_peer(name, {name: Load(1, 0, 50_000.0)}, 0.0)
+        finder.routing_state.loads.from_peer(name, {name: Load(1, 0, 50_000.0)}, 0.0)
 
 
 def test_a_request_with_no_more_attempts_stays_with_the_endpoints_that_had_it(
@@ -85,7 +87,7 @@
 def limit(finder, *names):
     """Let endpoints name limits, without a permit at hand."""
     for name in names:
-        finder.beliefs.limits.observe(name, 2.0, 0.0, 0.0)
+        finder.routing_state.limits.observe(name, 2.0, 0.0, 0.0)
 
 
 def test_a_request_goes_past_an_endpoint_that_is_at_its_limit(finder, shape):
@@ -93,7 +95,7 @@
     for _ in range(20):
         job = job_of()
         assert finder.find(job, shape, DEMAND).first.endpoint == "b"
-    assert finder.beliefs.send_limits.sharing.wanted["a"]
+    assert finder.routing_state.send_limits.sharing.wanted["a"]
 
 
 def test_a_request_that_only_limited_endpoints_could_serve_is_told_so(finder, shape):
--- a/packages/relay/tests/relay/test_peers.py
+++ b/packages/relay/tests/relay/test_peers.py
@@ -27,7 +27,7 @@
 def exchange(document: bytes) -> PeerExchange:
     """Return what speaks with other entries where a version is in force."""
     table = SimpleNamespace(version=7, document=document)
-    gossip = SimpleNamespace(beliefs=SimpleNamespace(table=table))
+    gossip = SimpleNamespace(routing_state=SimpleNamespace(table=table))
     return PeerExchange(gossip, (), None, lambda: 0.0, lambda: None)
 
 
@@ -85,5 +85,5 @@
     peers = exchange(DOCUMENT)
     first = peers._on_configuration(None)
     assert peers._on_configuration(None).body is first.body
-    peers.gossip.beliefs.table = SimpleNamespace(version=8, document=b"{}")
+    peers.gossip.routing_state.table = SimpleNamespace(version=8, document=b"{}")
     assert peers._on_configuration(None).body != first.body
--- a/packages/relay/tests/relay/test_placement_duty.py
+++ b/packages/relay/tests/relay/test_placement_duty.py
@@ -10,7 +10,6 @@
 
 from lacewingcourse.core.pipelines.shape import Layers
 from lacewingcourse.core.pipelines.suspects import Suspicion
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.duty_holder import DutyHolder
 from lacewingcourse.relay.placement_duty import (
     PERIOD,
@@ -24,6 +23,7 @@
     OrderOutcome,
     Unavailable,
 )
+from lacewingcourse.relay.routing_state import RoutingState
 
 from .leases import Leases
 
@@ -43,7 +43,7 @@
         log = SimpleNamespace(belief=lambda event, **fields: None)
         holder = DutyHolder("me", store, log, clock, lambda: 0, lambda: False)
         return PlacementDuty(
-            holder, orders, reports or Reports(), Beliefs(), log, clock, False
+            holder, orders, reports or Reports(), RoutingState(), log, clock, False
         )
 
     return make
@@ -73,7 +73,7 @@
     """Five lost endpoints had stayed without repair for 11 seconds."""
     duty = make_duty(Leases(Unavailable("refused")), clock=lambda: 10.0)
     duty.holder.lease = Lease("me", 3)
-    duty.beliefs.fleet.confirm(10.0 - age)
+    duty.routing_state.fleet.confirm(10.0 - age)
     assert asyncio.run(duty._may_order()) is may
     duty.holder.hear("other", 4)
     assert not asyncio.run(duty._may_order())
@@ -97,9 +97,9 @@
     duty = make_duty(Leases(None), orders=Orders(), clock=lambda: now[0])
     duty.holder.lease = duty.holder.store.holder = Lease("me", 1)
     service = SimpleNamespace(name="rooms", shape=shape)
-    duty.beliefs.table = SimpleNamespace(services={"rooms": service})
+    duty.routing_state.table = SimpleNamespace(services={"rooms": service})
     for name, layer in zip("abcd", (0, 0, 0, 1), strict=True):
-        duty.beliefs.fleet.put(small(name, layer))
+        duty.routing_state.fleet.put(small(name, layer))
     return duty, now
 
 
@@ -125,12 +125,12 @@
 def test_an_endpoint_that_moves_gets_no_new_work(lopsided):
     duty = place_until(lopsided, 40 * QUIET)
     (moved,) = duty.orders.placed
-    assert duty.beliefs.suspects.members[moved].reason == "ordered to move"
+    assert duty.routing_state.suspects.members[moved].reason == "ordered to move"
 
 
 def test_nothing_moves_while_an_endpoint_is_suspected(lopsided):
     duty, _ = lopsided
-    duty.beliefs.suspects.members["d"] = Suspicion(1e9, 1, 0.0, "reset")
+    duty.routing_state.suspects.members["d"] = Suspicion(1e9, 1, 0.0, "reset")
     assert place_until(lopsided, 40 * QUIET).orders.placed == {}
 
 
@@ -140,7 +140,7 @@
     duty = make_duty(Leases(None), orders=Orders(), clock=lambda: now[0])
     duty.holder.lease = duty.holder.store.holder = Lease("me", 1)
     service = SimpleNamespace(name="rooms", shape=shape)
-    duty.beliefs.table = SimpleNamespace(services={"rooms": service})
+    duty.routing_state.table = SimpleNamespace(services={"rooms": service})
     arrivals = {0.5: 60, 1.0: 110, 1.5: 113, 2.5: 114}
 
     async def run():
@@ -148,7 +148,7 @@
             now[0] += PERIOD
             for number in range(arrivals.get(now[0], 0)):
                 empty = attrs.evolve(small(f"e{number}", 0), layers=None)
-                duty.beliefs.fleet.put(empty)
+                duty.routing_state.fleet.put(empty)
             await duty.place()
             if now[0] == 1.0:
                 assert duty.orders.placed == {}
@@ -222,21 +222,21 @@
     duty = make_duty(Leases(None), late, lambda: now[0], reports=late)
     duty.holder.lease = duty.holder.store.holder = Lease("me", 1)
     service = SimpleNamespace(name="rooms", shape=shape)
-    duty.beliefs.table = SimpleNamespace(services={"rooms": service})
+    duty.routing_state.table = SimpleNamespace(services={"rooms": service})
     for name, layer in zip("abc", (0, 1, 1), strict=True):
-        duty.beliefs.fleet.put(small(name, layer))
-    duty.beliefs.fleet.put(attrs.evolve(small("d", 0), layers=None))
+        duty.routing_state.fleet.put(small(name, layer))
+    duty.routing_state.fleet.put(attrs.evolve(small("d", 0), layers=None))
 
     async def run():
         while now[0] < 12.0:
             now[0] += PERIOD
             late.arrive()
             if late.shown_at <= now[0]:
-                duty.beliefs.fleet.put(
+                duty.routing_state.fleet.put(
                     attrs.evolve(small("d", 0), layers=late.loads[0])
                 )
             if lost and now[0] == 3.0:
-                duty.beliefs.fleet.remove(lost, now[0])
+                duty.routing_state.fleet.remove(lost, now[0])
             await duty.place()
 
     asyncio.run(run())
--- a/packages/relay/tests/relay/test_readiness.py
+++ b/packages/relay/tests/relay/test_readiness.py
@@ -12,8 +12,8 @@
     take_limited,
     take_until_redirected,
 )
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.readiness import END_MARGIN, Readiness
+from lacewingcourse.relay.routing_state import RoutingState
 
 from .routes import route_of
 
@@ -28,7 +28,7 @@
 @pytest.fixture
 def leaving() -> Readiness:
     """An entry that was asked to end at 10, and once more at 12."""
-    readiness = Readiness(Beliefs(), GRACE, take_expected)
+    readiness = Readiness(RoutingState(), GRACE, take_expected)
     readiness.leave(now=10.0)
     readiness.leave(now=12.0)
     return readiness
@@ -40,11 +40,11 @@
 
 
 def test_an_entry_without_configuration_is_not_ready():
-    assert not Readiness(Beliefs(), GRACE).is_ready()
+    assert not Readiness(RoutingState(), GRACE).is_ready()
 
 
 def test_an_entry_with_configuration_is_ready_until_it_leaves():
-    readiness = Readiness(Beliefs(table=RoutingTable(1, {}, {}, Limits())), GRACE)
+    readiness = Readiness(RoutingState(table=RoutingTable(1, {}, {}, Limits())), GRACE)
     assert readiness.is_ready()
     assert takes(readiness, ROOMS, 5.0)
     readiness.leave(now=10.0)
@@ -61,9 +61,9 @@
 @pytest.mark.parametrize("length", [0.1, 1.5, 2.6])
 def test_an_entry_that_leaves_takes_what_will_end_in_time(grace, length):
     """With 2.8 seconds whatever the grace, 47 requests were refused in vain."""
-    readiness = Readiness(Beliefs(), grace, take_expected)
+    readiness = Readiness(RoutingState(), grace, take_expected)
     for number in range(100):
-        readiness.beliefs.durations.note("rooms", length * (0.5 + number / 200))
+        readiness.routing_state.durations.note("rooms", length * (0.5 + number / 200))
     readiness.leave(now=10.0)
     latest = 10.0 + grace - END_MARGIN - length
     assert takes(readiness, ROOMS, latest - 0.01)
@@ -72,7 +72,7 @@
 
 def test_answers_of_one_route_say_nothing_of_another(leaving):
     for _ in range(20):
-        leaving.beliefs.durations.note("calls", 0.05)
+        leaving.routing_state.durations.note("calls", 0.05)
     assert takes(leaving, CALLS, 17.0)
     assert not takes(leaving, ROOMS, 17.0)
 
@@ -88,8 +88,8 @@
 @pytest.mark.parametrize("usual", [0.01, 0.5, 2.0])
 def test_what_answers_took_before_bounds_no_later_one(leaving, usual):
     for _ in range(64):
-        leaving.beliefs.durations.note("rooms", usual)
-        leaving.beliefs.durations.note_stream("rooms", 0.1 * usual, 0.01 * usual)
+        leaving.routing_state.durations.note("rooms", usual)
+        leaving.routing_state.durations.note_stream("rooms", 0.1 * usual, 0.01 * usual)
     leaving.takes_last = take_until_redirected
     redirected = 10.0 + REDIRECT_TIME
     assert takes(leaving, ROOMS, redirected - 0.01)
--- a/packages/relay/tests/relay/test_request_to_end.py
+++ b/packages/relay/tests/relay/test_request_to_end.py
@@ -9,8 +9,8 @@
 
 from lacewingcourse.core.errors import ErrorKind, Refusal
 from lacewingcourse.relay.application import Application
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.readiness import Readiness
+from lacewingcourse.relay.routing_state import RoutingState
 
 from .test_caller import REQUEST, read_answer, run, serving_connections
 from .test_leaving import Lines, entry_with
@@ -28,7 +28,7 @@
     """Return a function that makes what the handlers of an entry use."""
 
     def make(ends_in=lambda: 1.0):
-        readiness = Readiness(Beliefs(), GRACE)
+        readiness = Readiness(RoutingState(), GRACE)
         entry = SimpleNamespace(
             readiness=readiness,
             clock=lambda: NOW,
@@ -43,7 +43,7 @@
             directory=SimpleNamespace(freshness=SimpleNamespace(expire=lambda: None)),
             holder=SimpleNamespace(lease=None),
             budget=SimpleNamespace(drop_loans=lambda: None),
-            beliefs=Beliefs(),
+            routing_state=RoutingState(),
         )
         entry._leave = lambda: "departure"
         entry._start = entry.started.append
@@ -99,7 +99,7 @@
     async def test():
         entry = entry_with(lacks, Lines())
         entry.ready_in = lambda: BACK
-        entry.readiness = Readiness(Beliefs(), GRACE)
+        entry.readiness = Readiness(RoutingState(), GRACE)
         if leaves:
             entry.readiness.leave(entry.clock())
         async with serving_connections(entry.serve) as (address, _):
--- a/packages/relay/tests/relay/test_retries_at_once.py
+++ b/packages/relay/tests/relay/test_retries_at_once.py
@@ -58,7 +58,7 @@
         return await super().reserve(address, fresh)
 
     def _find(self, job, shape, demand, besides=()):
-        if self.alone and self.beliefs.loads.own:
+        if self.alone and self.routing_state.loads.own:
             return Refusal(ErrorKind.OVERLOADED, "no path has memory")
         return super()._find(job, shape, demand, besides)
 
--- a/packages/relay/tests/relay/test_beliefs.py
+++ b/packages/relay/tests/relay/test_routing_state.py
@@ -8,13 +8,13 @@
 import pytest
 
 from lacewingcourse.core.pipelines.choice import Demand
-from lacewingcourse.relay.beliefs import Beliefs
+from lacewingcourse.relay.routing_state import RoutingState
 
 
 @pytest.fixture
-def beliefs(small, shape):
+def routing_state(small, shape):
     """Four endpoints, two for each of two layers."""
-    found = Beliefs()
+    found = RoutingState()
     services = {"rooms": SimpleNamespace(shape=shape)}
     found.table = SimpleNamespace(services=services)
     for name, layer in zip("abcd", (0, 0, 1, 1), strict=True):
@@ -22,12 +22,12 @@
     return found
 
 
-def test_figures_of_paths_that_were_replaced_are_forgotten(beliefs, shape):
+def test_figures_of_paths_that_were_replaced_are_forgotten(routing_state, shape):
     """Endpoints are suspected again and again while the fleet stays the same."""
     rng = random.Random(1)
     for turn in range(50):
         now = 100.0 * turn
-        beliefs.suspects.suspect("abcd"[turn % 4], "reset", now)
-        paths = beliefs.paths("rooms", shape, now)
-        beliefs.chooser(shape).choose(paths, Demand(100, 10), (), rng, now)
-    assert len(beliefs.chooser(shape).figures) <= len(paths)
+        routing_state.suspects.suspect("abcd"[turn % 4], "reset", now)
+        paths = routing_state.paths("rooms", shape, now)
+        routing_state.chooser(shape).choose(paths, Demand(100, 10), (), rng, now)
+    assert len(routing_state.chooser(shape).figures) <= len(paths)
--- a/packages/relay/tests/relay/test_secured.py
+++ b/packages/relay/tests/relay/test_secured.py
@@ -111,7 +111,7 @@
 def test_what_runs_beside_one_another_leaves_no_load(shape, engine):
     played = StreamPlay(shape, {"a": SHORT_PAUSE, "c": engine})
     play(played.serve((IN_PAUSE, played.dies("b"))))
-    assert played.beliefs.loads.own == {}
+    assert played.routing_state.loads.own == {}
 
 
 @attrs.define(slots=False)
@@ -120,7 +120,7 @@
 
     def _find(self, job, shape, demand, besides=()):
         found = super()._find(job, shape, demand, besides)
-        if self.beliefs.loads.own:
+        if self.routing_state.loads.own:
             return Refusal(ErrorKind.OVERLOADED, "no path has memory")
         return found
 
@@ -219,7 +219,7 @@
     played = Held(shape, {"a": Engine()})
     play(played.serve())
     assert played.firsts == ["a", "c"]
-    assert played.beliefs.crashes.losses(played.ended_at)
+    assert played.routing_state.crashes.losses(played.ended_at)
 
 
 def test_a_run_whose_events_flow_is_not_closed_for_a_part_that_is_said_to_be_dead(
@@ -253,4 +253,4 @@
     played = SlowToReach(shape, {"a": engine})
     play(played.serve((0.55, played.dies("b"))))
     assert played.caller.body == whole_answer()
-    assert played.beliefs.crashes.losses(played.ended_at) == {}
+    assert played.routing_state.crashes.losses(played.ended_at) == {}
--- a/packages/relay/tests/relay/test_sent_while_ending.py
+++ b/packages/relay/tests/relay/test_sent_while_ending.py
@@ -12,10 +12,10 @@
 from lacewingcourse.core.errors import ErrorKind, Outcome, Refusal
 from lacewingcourse.core.pipelines.shutdown import take_none
 from lacewingcourse.relay.admission import RETRY_PERIOD
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.connections import NotSent, Unsent
 from lacewingcourse.relay.gateway import LEAVING
 from lacewingcourse.relay.readiness import Readiness
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.sending import Sender, WholeAnswer
 
 from .stream_play import Engine, StreamPlay, path_of, whole_answer
@@ -34,7 +34,7 @@
 
 def takes_until_asked(job, asked=ASKED):
     """Return a request that an entry which is asked to end takes no more."""
-    readiness = Readiness(Beliefs(), GRACE, take_none)
+    readiness = Readiness(RoutingState(), GRACE, take_none)
     asyncio.get_running_loop().call_at(asked, readiness.leave, asked)
     job.takes = lambda now: readiness.takes(job.route.name, now, job.until)
     return job
@@ -171,14 +171,14 @@
     played = LateStream(shape, {})
     ended = play(played.serve())
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
-    assert played.beliefs.suspects.excluded(0.0) == set()
+    assert played.routing_state.suspects.excluded(0.0) == set()
 
 
 def test_a_call_that_was_not_sent_takes_no_endpoint_from_others():
     played = LateCall()
     ended = play(played.serve())
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
-    assert played.beliefs.suspects.excluded(0.0) == set()
+    assert played.routing_state.suspects.excluded(0.0) == set()
 
 
 def test_a_rejected_call_is_not_sent_again_by_an_ending_entry():
--- a/packages/relay/tests/relay/test_staleness.py
+++ b/packages/relay/tests/relay/test_staleness.py
@@ -16,9 +16,9 @@
     RoutingTable,
     Service,
 )
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.job import Job
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.staleness import LOOK_PERIOD, LOOKS, StalenessGuard
 
 from .virtual_time import play
@@ -43,12 +43,12 @@
     """A version with an age that a test sets.
 
     Attributes:
-        beliefs: Where it is in force.
+        routing_state: Where it is in force.
         known_at: When it was last known to be the newest, seconds.
     """
 
     def __init__(self, age: float) -> None:
-        self.beliefs = Beliefs(table=table(1, "/known/"))
+        self.routing_state = RoutingState(table=table(1, "/known/"))
         self.known_at = asyncio.get_running_loop().time() - age
 
     def age(self) -> float:
@@ -57,7 +57,7 @@
     def confirm(self, newer: RoutingTable | None = None) -> None:
         """Hear that a version is the newest, this one if no other is given."""
         if newer is not None:
-            self.beliefs.accept(newer)
+            self.routing_state.accept(newer)
         self.known_at = asyncio.get_running_loop().time()
 
 
@@ -74,7 +74,7 @@
         loop = asyncio.get_running_loop()
         configuration = Configuration(age)
         gateway = Gateway(
-            configuration.beliefs,
+            configuration.routing_state,
             codec=None,
             calls=None,
             streams=None,
--- a/packages/relay/tests/relay/test_streams.py
+++ b/packages/relay/tests/relay/test_streams.py
@@ -16,8 +16,8 @@
 from lacewingcourse.core.pipelines.retry_budget import RetryBudget
 from lacewingcourse.core.pipelines.routing import RetrySafety
 from lacewingcourse.core.pipelines.shape import Layers
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.ports import AnswerHead, Standing
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.streams import StreamForwarder
 from lacewingcourse.relay.upstream import (
     End,
@@ -71,15 +71,15 @@
     """
 
     def run(status: int, taken: float):
-        beliefs = Beliefs()
+        routing_state = RoutingState()
         service = SimpleNamespace(shape=shape)
-        beliefs.table = SimpleNamespace(services={"rooms": service})
+        routing_state.table = SimpleNamespace(services={"rooms": service})
         for part in PATH.parts:
-            beliefs.fleet.put(endpoint(part))
-        beliefs.loads.from_peer("p", {"b": Load(1, 0, taken * ROOM)}, 0.0)
+            routing_state.fleet.put(endpoint(part))
+        routing_state.loads.from_peer("p", {"b": Load(1, 0, taken * ROOM)}, 0.0)
         told = Recorder()
         forwarder = StreamForwarder(
-            beliefs,
+            routing_state,
             SimpleNamespace(find=lambda job, shape, demand: PATH),
             Sender(status),
             RetryBudget(0.2, 10.0, 20),
@@ -90,7 +90,7 @@
         )
         refusal = asyncio.run(forwarder.serve(make_job(), shape))
         assert isinstance(refusal, Refusal)
-        return beliefs, told
+        return routing_state, told
 
     return run
 
@@ -169,8 +169,8 @@
 
 
 def test_an_endpoint_without_memory_is_left_to_other_requests(rejected):
-    beliefs, told = rejected(status=503, taken=0.9)
-    assert beliefs.suspects.excluded(0.0) == set()
+    routing_state, told = rejected(status=503, taken=0.9)
+    assert routing_state.suspects.excluded(0.0) == set()
     assert told.faults == [("b", 0.9)]
 
 
@@ -185,6 +185,6 @@
     ids=["rejects with memory left", "lacks the layers"],
 )
 def test_an_endpoint_that_rejects_every_request_is_left_out(rejected, status, taken):
-    beliefs, told = rejected(status, taken)
-    assert beliefs.suspects.excluded(0.0) == {"b"}
+    routing_state, told = rejected(status, taken)
+    assert routing_state.suspects.excluded(0.0) == {"b"}
     assert told.asked == []
--- a/packages/relay/tests/relay/test_versions.py
+++ b/packages/relay/tests/relay/test_versions.py
@@ -15,9 +15,9 @@
 from lacewingcourse.core.pipelines.shape import Accelerator
 from lacewingcourse.core.pipelines.speed import SpeedEstimator
 from lacewingcourse.core.pipelines.suspects import Suspects
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.path_finder import PathFinder
 from lacewingcourse.relay.ports import EngineReport
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.stall_watcher import PERIOD, SECOND_QUESTION, StallWatcher
 from lacewingcourse.relay.streams import RunResult, StreamEnd, StreamForwarder
 
@@ -35,21 +35,21 @@
 
 
 @pytest.fixture
-def beliefs(small, shape):
+def routing_state(small, shape):
     """Four endpoints, two for each of two layers."""
-    found = Beliefs()
+    found = RoutingState()
     come(found, rooms=shape)
     for name, layer in zip("abcd", (0, 0, 1, 1), strict=True):
         found.fleet.put(small(name, layer))
     return found
 
 
-def come(beliefs, **shapes):
+def come(routing_state, **shapes):
     """Put a version in force with the figures of some services."""
     services = {
         name: SimpleNamespace(name=name, shape=shape) for name, shape in shapes.items()
     }
-    beliefs.table = SimpleNamespace(services=services)
+    routing_state.table = SimpleNamespace(services=services)
 
 
 def other_kinds(shape, *names):
@@ -71,17 +71,19 @@
 
 
 @pytest.mark.parametrize("kinds", [("small", "large"), ("small",)])
-def test_a_stream_finds_a_path_by_the_figures_that_it_began_with(beliefs, shape, kinds):
+def test_a_stream_finds_a_path_by_the_figures_that_it_began_with(
+    routing_state, shape, kinds
+):
     """Another version changes steps and kinds, and the service may be gone."""
-    finder = PathFinder(beliefs, Random(1), lambda: 0.0)
-    come(beliefs, rooms=attrs.evolve(other_kinds(shape, *kinds), step_ms=3.0))
+    finder = PathFinder(routing_state, Random(1), lambda: 0.0)
+    come(routing_state, rooms=attrs.evolve(other_kinds(shape, *kinds), step_ms=3.0))
     assert not isinstance(finder.find(job_of(), shape, DEMAND), Refusal)
-    come(beliefs)
+    come(routing_state)
     assert not isinstance(finder.find(job_of(), shape, DEMAND), Refusal)
 
 
 def test_paths_are_not_searched_anew_while_old_and_new_requests_look_in_turn(
-    beliefs, shape
+    routing_state, shape
 ):
     """A version changes figures while requests wait with those they came with.
 
@@ -91,27 +93,29 @@
     are kept for one set of figures of a service only.
     """
     newer = attrs.evolve(shape, step_ms=2.0)
-    come(beliefs, rooms=newer)
-    old = beliefs.paths("rooms", shape, 0.0)
-    new = beliefs.paths("rooms", newer, 0.0)
-    assert beliefs.paths("rooms", shape, 0.0) is old
-    assert beliefs.paths("rooms", newer, 0.0) is new
+    come(routing_state, rooms=newer)
+    old = routing_state.paths("rooms", shape, 0.0)
+    new = routing_state.paths("rooms", newer, 0.0)
+    assert routing_state.paths("rooms", shape, 0.0) is old
+    assert routing_state.paths("rooms", newer, 0.0) is new
 
 
 @pytest.mark.parametrize("kinds", [("small", "large"), ("large",)])
-def test_a_rejected_stream_survives_a_version_of_other_kinds(beliefs, shape, kinds):
+def test_a_rejected_stream_survives_a_version_of_other_kinds(
+    routing_state, shape, kinds
+):
     """A part on a stream's path rejects it after a version has dropped the part's kind.
 
     The caller's answer is broken off, or it is told of a defect. How full the part is
     is worked out from the version in force, whose kinds the part has none of, and the
     look-up of its kind raises an error.
     """
-    path = beliefs.paths("rooms", shape, 0.0)[0]
-    come(beliefs, rooms=other_kinds(shape, *kinds))
+    path = routing_state.paths("rooms", shape, 0.0)[0]
+    come(routing_state, rooms=other_kinds(shape, *kinds))
     sender = SimpleNamespace(clock=lambda: 0.0)
     nothing = Anything()
     forwarder = StreamForwarder(
-        beliefs, nothing, sender, nothing, Random(1), nothing, nothing, nothing
+        routing_state, nothing, sender, nothing, Random(1), nothing, nothing, nothing
     )
     result = RunResult(StreamEnd.REJECTED, "rejected", path.parts[1].address)
     job = job_of()
@@ -140,7 +144,7 @@
 
 @pytest.mark.parametrize("stands", [False, True])
 def test_a_stream_stays_where_it_is_while_the_entry_itself_stands_still(
-    beliefs, shape, stands
+    routing_state, shape, stands
 ):
     """The loop stands still for a moment after an endpoint was asked whether it lives.
 
@@ -165,7 +169,7 @@
 
     async def run():
         job = job_of()
-        job.path = beliefs.paths("rooms", shape, 0.0)[0]
+        job.path = routing_state.paths("rooms", shape, 0.0)[0]
         job.route = SimpleNamespace(gap=0.2, objective=0.5)
         job.may_move, job.watched = True, None
         job.current = SimpleNamespace(arrivals=asyncio.Queue())
