--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -42,7 +42,7 @@
 from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.sending import Sender
 from lacewingcourse.relay.settings_watch import SettingsWatch
-from lacewingcourse.relay.small_server import Question, Reply, SmallServer
+from lacewingcourse.relay.small_server import Reply, ServerRequest, SmallServer
 from lacewingcourse.relay.staleness import StalenessGuard
 from lacewingcourse.relay.stall_watcher import StallWatcher
 from lacewingcourse.relay.streams import StreamForwarder
@@ -368,7 +368,7 @@
     def _tell_peers(self) -> None:
         self.peers.tell_now()
 
-    def _on_ready(self, question: Question) -> Reply:
+    def _on_ready(self, question: ServerRequest) -> Reply:
         return Reply(200 if self.readiness.is_ready() else 503)
 
     def _on_configuration(self) -> None:
--- a/packages/relay/src/lacewingcourse/relay/limit_permits.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_permits.py
@@ -19,7 +19,7 @@
     encode,
     encode_limit,
 )
-from lacewingcourse.relay.small_server import Question, Reply
+from lacewingcourse.relay.small_server import Reply, ServerRequest
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -169,8 +169,8 @@
             retry_in_ms=round(grant.retry_in * 1000, 1),
         )
 
-    def _on_request(self, question: Question) -> Reply:
-        found = decode(question.body, PermitRequest)
+    def _on_request(self, request: ServerRequest) -> Reply:
+        found = decode(request.body, PermitRequest)
         if isinstance(found, Undecodable):
             self.on_unreadable()
             return Reply(400)
--- a/packages/relay/src/lacewingcourse/relay/metrics.py
+++ b/packages/relay/src/lacewingcourse/relay/metrics.py
@@ -13,7 +13,7 @@
 )
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
-from lacewingcourse.relay.small_server import Question, Reply
+from lacewingcourse.relay.small_server import Reply, ServerRequest
 
 if TYPE_CHECKING:
     from lacewingcourse.core.errors import Refusal
@@ -203,7 +203,7 @@
         """Count a call of the store."""
         self.store_calls.labels(result).observe(seconds)
 
-    def answer(self, question: Question) -> Reply:
+    def answer(self, question: ServerRequest) -> Reply:
         """Return all metrics as text."""
         return Reply(200, generate_latest(self.registry), CONTENT_TYPE_LATEST)
 
--- a/packages/relay/src/lacewingcourse/relay/metrics_page.py
+++ b/packages/relay/src/lacewingcourse/relay/metrics_page.py
@@ -12,7 +12,7 @@
     from lacewingcourse.core.pipelines.freshness import Freshness
     from lacewingcourse.relay.metrics import Metrics
     from lacewingcourse.relay.routing_state import RoutingState
-    from lacewingcourse.relay.small_server import Question, Reply
+    from lacewingcourse.relay.small_server import Reply, ServerRequest
 
 
 @attrs.define
@@ -35,7 +35,7 @@
     clock: Callable[[], float]
     boot_clock: Callable[[], float]
 
-    def answer(self, question: Question) -> Reply:
+    def answer(self, question: ServerRequest) -> Reply:
         """Return the metrics."""
         boot_now = self.boot_clock()
         self.metrics.configuration_age.set(self.configuration.age(boot_now))
--- a/packages/relay/src/lacewingcourse/relay/peers.py
+++ b/packages/relay/src/lacewingcourse/relay/peers.py
@@ -18,7 +18,7 @@
     encode,
 )
 from lacewingcourse.relay.ports import Unavailable
-from lacewingcourse.relay.small_server import Question, Reply
+from lacewingcourse.relay.small_server import Reply, ServerRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -272,14 +272,14 @@
             return None
         return found
 
-    def _on_news(self, question: Question) -> Reply:
-        news = self._read(question.body, PeerNews, "a caller")
+    def _on_news(self, request: ServerRequest) -> Reply:
+        news = self._read(request.body, PeerNews, "a caller")
         if news is None:
             return Reply(400)
         self.take(news)
         return Reply(200, encode(self.gossip.news_for(news.name, news.zone)))
 
-    def _on_configuration(self, question: Question) -> Reply:
+    def _on_configuration(self, request: ServerRequest) -> Reply:
         table = self.gossip.routing_state.table
         if table is None:
             return Reply(404)
@@ -290,7 +290,7 @@
             self.packed = PackedVersion(table.version, body)
         return Reply(200, self.packed.body, encoding="gzip")
 
-    def _on_fleet(self, question: Question) -> Reply:
+    def _on_fleet(self, request: ServerRequest) -> Reply:
         if self.gossip.directory.position is None:
             return Reply(404)
         now = self.clock()
--- a/packages/relay/src/lacewingcourse/relay/retry_loans.py
+++ b/packages/relay/src/lacewingcourse/relay/retry_loans.py
@@ -11,7 +11,7 @@
 from lacewingcourse.core.pipelines.retry_budget import ask_for_all
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.peer_messages import LoanReply, LoanRequest, decode, encode
-from lacewingcourse.relay.small_server import Question, Reply
+from lacewingcourse.relay.small_server import Reply, ServerRequest
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -119,8 +119,8 @@
             return 0
         return max(0, found.count)
 
-    def _on_request(self, question: Question) -> Reply:
-        found = decode(question.body, LoanRequest)
+    def _on_request(self, request: ServerRequest) -> Reply:
+        found = decode(request.body, LoanRequest)
         if isinstance(found, Undecodable):
             self.on_unreadable()
             return Reply(400)
--- a/packages/relay/src/lacewingcourse/relay/small_server.py
+++ b/packages/relay/src/lacewingcourse/relay/small_server.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Question:
+class ServerRequest:
     """A request to the small server.
 
     Attributes:
@@ -58,7 +58,7 @@
     """
 
     def __init__(
-        self, handlers: dict[tuple[str, str], Callable[[Question], Reply]]
+        self, handlers: dict[tuple[str, str], Callable[[ServerRequest], Reply]]
     ) -> None:
         self.handlers = handlers
 
@@ -66,15 +66,15 @@
         self, server_conn: object, request_conn: HTTP1Connection
     ) -> HTTPMessageDelegate:
         """Return what answers the next question of a connection."""
-        return _Answering(self.handlers, request_conn)
+        return _RequestHandler(self.handlers, request_conn)
 
 
-class _Answering(HTTPMessageDelegate):
+class _RequestHandler(HTTPMessageDelegate):
     """Takes one question and answers it."""
 
     def __init__(
         self,
-        handlers: dict[tuple[str, str], Callable[[Question], Reply]],
+        handlers: dict[tuple[str, str], Callable[[ServerRequest], Reply]],
         connection: HTTP1Connection,
     ) -> None:
         self.handlers = handlers
@@ -97,7 +97,7 @@
         if handler is None:
             reply = Reply(404)
         else:
-            reply = handler(Question(self.target, bytes(self.body)))
+            reply = handler(ServerRequest(self.target, bytes(self.body)))
         line = ResponseStartLine("HTTP/1.1", reply.status, responses[reply.status])
         headers = HTTPHeaders(
             {"Content-Type": reply.content_type, "Content-Length": str(len(reply.body))}
--- a/packages/relay/tests/relay/test_limit_permits.py
+++ b/packages/relay/tests/relay/test_limit_permits.py
@@ -17,7 +17,7 @@
     decode,
     encode,
 )
-from lacewingcourse.relay.small_server import Question
+from lacewingcourse.relay.small_server import ServerRequest
 
 from .stream_play import Decisions
 from .virtual_time import play
@@ -71,7 +71,7 @@
         if not self.answers:
             return None
         handler = self.exchanges[address].handlers()["POST", PERMITS_PATH]
-        return handler(Question(path, body)).body
+        return handler(ServerRequest(path, body)).body
 
     async def wait_for_permit(self, name: str, limit: float, seconds: float) -> bool:
         """Let an entry want a permit; tell whether it has one after some time."""
@@ -124,7 +124,7 @@
         exchange = Entries().exchanges[name]
         exchange.is_leaving = lambda: leaves
         request = PermitRequest("e9", ENDPOINT, 5, [], 100.0, 0.0)
-        reply = exchange._on_request(Question(PERMITS_PATH, encode(request)))
+        reply = exchange._on_request(ServerRequest(PERMITS_PATH, encode(request)))
         assert decode(reply.body, PermitReply).issuer == ""
         assert decode(reply.body, PermitReply).delays == []
 
@@ -135,7 +135,7 @@
     async def test():
         entries = Entries()
         exchange = entries.exchanges[ISSUER]
-        assert exchange._on_request(Question(PERMITS_PATH, b"{}")).status == 400
+        assert exchange._on_request(ServerRequest(PERMITS_PATH, b"{}")).status == 400
         assert exchange._granted(b"[]").delays == ()
         assert entries.unreadable == 2
 
--- a/packages/relay/tests/relay/test_retry_loans.py
+++ b/packages/relay/tests/relay/test_retry_loans.py
@@ -27,7 +27,7 @@
     encode,
 )
 from lacewingcourse.relay.retry_loans import LOAN_PATH, RetryLoans
-from lacewingcourse.relay.small_server import Question
+from lacewingcourse.relay.small_server import ServerRequest
 
 from .stream_play import Decisions
 from .virtual_time import play
@@ -86,7 +86,7 @@
         if self.rng.random() < self.loss:
             return None
         handler = self.entries[address].handlers()["POST", LOAN_PATH]
-        reply = handler(Question(path, body))
+        reply = handler(ServerRequest(path, body))
         await asyncio.sleep(self.rng.uniform(0, self.delay))
         return None if self.rng.random() < self.loss else reply.body
 
