--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -344,7 +344,7 @@
         return self.book.rank(self.clock())
 
     def _reader_rank(self) -> int:
-        return self.book.reader_rank(self.clock(), self.peers.gossip.reads)
+        return self.book.reader_rank(self.clock(), self.peers.gossip.platform_reachable)
 
     def _on_suspect(self, endpoints: tuple[str, ...], reason: str) -> None:
         """Leave out endpoints that were found to be dead, and tell it."""
@@ -366,7 +366,7 @@
         self.loans.want(service, request)
 
     def _tell_peers(self) -> None:
-        self.peers.tell_now()
+        self.peers.exchange_now()
 
     def _on_ready(self, question: ServerRequest) -> Reply:
         return Reply(200 if self.readiness.is_ready() else 503)
--- a/packages/relay/src/lacewingcourse/relay/followers.py
+++ b/packages/relay/src/lacewingcourse/relay/followers.py
@@ -24,7 +24,7 @@
     from lacewingcourse.core.pipelines.freshness import Freshness, PropagationBudget
     from lacewingcourse.core.pipelines.routing import RoutingTable
     from lacewingcourse.relay.decisions import DecisionLog
-    from lacewingcourse.relay.peer_messages import FleetNews
+    from lacewingcourse.relay.peer_messages import FleetSnapshot
     from lacewingcourse.relay.ports import (
         ConfigurationNews,
         ConfigurationSource,
@@ -257,7 +257,7 @@
         if fleet.revision != revision:
             self.on_change()
 
-    def from_peer(self, news: FleetNews, peer: str, time_on_way: float) -> None:
+    def from_peer(self, news: FleetSnapshot, peer: str, transit_time: float) -> None:
         """Take the endpoints that another entry knows, if it has read further.
 
         Args:
@@ -268,7 +268,7 @@
         if self.position is not None and news.position <= self.position:
             return
         now = self.clock()
-        age = news.age + time_on_way
+        age = news.age + transit_time
         entries = tuple(EndpointEntry(e.name, e) for e in news.endpoints)
         self.routing_state.fleet.confirm(now - age)
         with self.watch.section("endpoints from a peer"):
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -11,7 +11,12 @@
 from lacewingcourse.core.pipelines.peers import Role
 from lacewingcourse.core.pipelines.stamps import StampTable
 from lacewingcourse.core.pipelines.suspects import Reach
-from lacewingcourse.relay.peer_messages import PeerNews, Scope, decode_limit, loads_of
+from lacewingcourse.relay.peer_messages import (
+    GossipMessage,
+    Scope,
+    decode_limit,
+    decode_loads,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -24,7 +29,7 @@
     from lacewingcourse.relay.routing_state import RoutingState
 
 #: Key under which the loads of all others are kept that a hub told.
-OTHERS = "others"
+OTHERS_KEY = "others"
 #: What suspicions and losses reach whom, by what the loads beside them cover.
 REACH_OF_SCOPE = {
     Scope.OWN: Reach.OWN,
@@ -82,11 +87,11 @@
         return StampTable(self.boot_clock())
 
     @property
-    def reads(self) -> bool:
+    def platform_reachable(self) -> bool:
         """Whether the platform answers this entry."""
         return self.configuration.reachable and self.directory.reachable
 
-    def news_for(self, receiver: str, zone: str) -> PeerNews:
+    def message_for(self, receiver: str, zone: str) -> GossipMessage:
         """Return what this entry tells another one.
 
         Args:
@@ -96,11 +101,11 @@
         now, boot_now = self.clock(), self.boot_clock()
         scope = self.scope_for(receiver, zone, now)
         reach = REACH_OF_SCOPE[scope]
-        covered = self._covered(scope, receiver)
-        loads = self.routing_state.loads.total(covered)
-        links = self.routing_state.links.total(now, covered)
+        included = self._load_filter(scope, receiver)
+        loads = self.routing_state.loads.total(included)
+        links = self.routing_state.links.total(now, included)
         table, lease = self.routing_state.table, self.holder.lease
-        return PeerNews(
+        return GossipMessage(
             name=self.name,
             zone=self.book.zone,
             address=self.address,
@@ -124,26 +129,26 @@
                 peer.name: (peer.address, peer.zone, round(now - peer.heard_at, 3))
                 for peer in self.book.told_to(zone, now)
             },
-            counts=self._counts(scope, now),
+            counts=self._zone_counts(scope, now),
             holder=lease.holder if lease else "",
             fencing=lease.fencing if lease else 0,
             holder_age=round(self.holder.silence(), 3) if lease else 0.0,
             released=self.holder.released,
             ends_in=self.ends_in(),
             limits=self.routing_state.limits.observations(now),
-            reads=self.reads,
+            reads=self.platform_reachable,
             stamp=boot_now,
             echo=self.stamps.echo(receiver, boot_now),
         )
 
-    def time_on_way(self, news: PeerNews) -> float:
+    def transit_time(self, message: GossipMessage) -> float:
         """Return the seconds that have passed since news were composed, at the most.
 
         Returns:
             Infinity if that is not known.
         """
         now = self.boot_clock()
-        composed_at = self.stamps.composed_at(news.echo, now)
+        composed_at = self.stamps.composed_at(message.echo, now)
         return float("inf") if composed_at is None else now - composed_at
 
     def scope_for(self, receiver: str, zone: str, now: float) -> Scope:
@@ -155,85 +160,91 @@
         is_hub = receiver in self.book.hubs(now)[self.book.zone]
         return Scope.OWN if is_hub else Scope.OTHERS
 
-    def take(self, news: PeerNews) -> None:
+    def receive(self, message: GossipMessage) -> None:
         """Learn from another entry."""
         now = self.clock()
-        self.stamps.receive(news.name, news.stamp, self.boot_clock())
-        was_alive = news.name in self.book.alive(now)
+        self.stamps.receive(message.name, message.stamp, self.boot_clock())
+        was_alive = message.name in self.book.alive(now)
         self.book.hear(
-            news.name,
-            news.address,
-            news.leaving,
+            message.name,
+            message.address,
+            message.leaving,
             now,
-            news.zone,
-            news.ends_in,
-            news.reads,
+            message.zone,
+            message.ends_in,
+            message.reads,
         )
-        if not was_alive and not news.leaving:
-            self.log.belief("peer_heard", peer=news.name, address=news.address)
+        if not was_alive and not message.leaving:
+            self.log.belief("peer_heard", peer=message.name, address=message.address)
         # The first word of an entry has no echo, and must not be missed.
-        on_way = self.time_on_way(news)
-        on_way = on_way if isfinite(on_way) else 0.0
-        for name, (address, zone, age) in news.peers.items():
-            self.book.hear_of(name, address, zone, on_way + age, now)
-        self._take_counts(news, now)
-        self._take_loads(news, now)
-        near = news.zone == self.book.zone and news.scope is Scope.OWN
-        for endpoint, remaining in news.suspects.items():
-            silent = endpoint in news.silent
+        transit = self.transit_time(message)
+        transit = transit if isfinite(transit) else 0.0
+        for name, (address, zone, age) in message.peers.items():
+            self.book.hear_of(name, address, zone, transit + age, now)
+        self._apply_counts(message, now)
+        self._apply_loads(message, now)
+        seen_in_zone = message.zone == self.book.zone and message.scope is Scope.OWN
+        for endpoint, remaining in message.suspects.items():
+            silent = endpoint in message.silent
             self.routing_state.suspects.from_peer(
-                endpoint, remaining, now, near, silent
+                endpoint, remaining, now, seen_in_zone, silent
             )
-        for endpoint, (factor, remaining) in news.speeds.items():
+        for endpoint, (factor, remaining) in message.speeds.items():
             self.routing_state.speeds.from_peer(endpoint, factor, remaining, now)
-        self.routing_state.crashes.from_peer(news.crashes, now, near)
-        self._take_limits(news, now, on_way)
-        holder_age = on_way + news.holder_age
-        self.holder.hear(news.holder, news.fencing, holder_age, news.released)
+        self.routing_state.crashes.from_peer(message.crashes, now, seen_in_zone)
+        self._apply_limits(message, now, transit)
+        holder_age = transit + message.holder_age
+        self.holder.hear(message.holder, message.fencing, holder_age, message.released)
 
-    def _take_limits(self, news: PeerNews, now: float, on_way: float) -> None:
+    def _apply_limits(self, message: GossipMessage, now: float, transit: float) -> None:
         """Take which limits endpoints named to others."""
         limits = self.routing_state.limits
-        for endpoint, (told, age) in news.limits.items():
-            named, before = decode_limit(told), limits.named(endpoint)
-            if limits.from_peer(endpoint, named, on_way + age, now):
-                self.log.limit(endpoint, named, before, news.name)
+        for endpoint, (encoded, age) in message.limits.items():
+            named, before = decode_limit(encoded), limits.named(endpoint)
+            if limits.from_peer(endpoint, named, transit + age, now):
+                self.log.limit(endpoint, named, before, message.name)
 
-    def _take_counts(self, news: PeerNews, now: float) -> None:
+    def _apply_counts(self, message: GossipMessage, now: float) -> None:
         """Take how many entries other zones have."""
-        told = {zone: n for zone, n in news.counts.items() if zone != self.book.zone}
-        if news.scope is Scope.OTHERS:
-            self.book.counts = told
+        counts = {
+            zone: n for zone, n in message.counts.items() if zone != self.book.zone
+        }
+        if message.scope is Scope.OTHERS:
+            self.book.counts = counts
         else:
-            self.book.counts.update(told)
+            self.book.counts.update(counts)
 
-    def _take_loads(self, news: PeerNews, now: float) -> None:
+    def _apply_loads(self, message: GossipMessage, now: float) -> None:
         """Take what others run, unless it is known already in another sum."""
         role = self.book.role(now)
         loads, links = self.routing_state.loads, self.routing_state.links
-        uses = {(first, second): use for first, second, use in news.links}
+        uses = {(first, second): use for first, second, use in message.links}
         if role is Role.MEMBER:
-            if news.scope is Scope.OTHERS:
-                self._forget_but({OTHERS})
-                loads.from_peer(OTHERS, loads_of(news), now)
-                links.from_peer(OTHERS, uses)
+            if message.scope is Scope.OTHERS:
+                self._forget_except({OTHERS_KEY})
+                loads.from_peer(OTHERS_KEY, decode_loads(message), now)
+                links.from_peer(OTHERS_KEY, uses)
             return
-        key = self._key_of(news, role)
+        key = self._load_key(message, role)
         if key:
-            self._forget(OTHERS)
-            loads.from_peer(key, loads_of(news), now)
+            self._forget(OTHERS_KEY)
+            loads.from_peer(key, decode_loads(message), now)
             links.from_peer(key, uses)
 
-    def _key_of(self, news: PeerNews, role: Role) -> str:
+    def _load_key(self, message: GossipMessage, role: Role) -> str:
         """Return under which key loads are kept, empty for those in another sum."""
         if role is Role.EQUAL:
-            return news.name if news.scope is Scope.OWN else ""
-        near = news.zone == self.book.zone
-        if news.scope is Scope.OWN:
-            return news.name if near else ""
-        return f"zone {news.zone}" if news.scope is Scope.ZONE and not near else ""
+            return message.name if message.scope is Scope.OWN else ""
+        same_zone = message.zone == self.book.zone
+        if message.scope is Scope.OWN:
+            return message.name if same_zone else ""
+        return (
+            f"zone {message.zone}"
+            if message.scope is Scope.ZONE and not same_zone
+            else ""
+        )
 
-    def _forget_but(self, kept: set[str]) -> None:
+    def _forget_except(self, kept: set[str]) -> None:
         for key in set(self.routing_state.loads.peers) - kept:
             self._forget(key)
 
@@ -241,19 +252,19 @@
         self.routing_state.loads.forget(key)
         self.routing_state.links.forget(key)
 
-    def _covered(self, scope: Scope, receiver: str) -> Callable[[str], bool]:
+    def _load_filter(self, scope: Scope, receiver: str) -> Callable[[str], bool]:
         """Return which loads of others a message tells besides this entry's own."""
         if scope is Scope.OWN:
             return lambda key: False
         if scope is Scope.ZONE:
-            return self._near
+            return self._is_zone_entry
         return lambda key: key != receiver
 
-    def _near(self, key: str) -> bool:
+    def _is_zone_entry(self, key: str) -> bool:
         """Tell whether loads under a key are those of an entry of this zone."""
         return key in self.book.peers
 
-    def _counts(self, scope: Scope, now: float) -> dict[str, int]:
+    def _zone_counts(self, scope: Scope, now: float) -> dict[str, int]:
         """Return how many entries zones have, for those who do not hear them."""
         if self.book.role(now) is Role.MEMBER:
             return {}
--- a/packages/relay/src/lacewingcourse/relay/peer_messages.py
+++ b/packages/relay/src/lacewingcourse/relay/peer_messages.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class PeerNews:
+class GossipMessage:
     """What an entry tells another one, several times a second.
 
     Attributes:
@@ -91,7 +91,7 @@
 
 
 @attrs.frozen
-class FleetNews:
+class FleetSnapshot:
     """The endpoints that an entry knows.
 
     Attributes:
@@ -171,7 +171,12 @@
 
 #: What entries send one another.
 PeerMessage = (
-    PeerNews | FleetNews | LoanRequest | LoanReply | PermitRequest | PermitReply
+    GossipMessage
+    | FleetSnapshot
+    | LoanRequest
+    | LoanReply
+    | PermitRequest
+    | PermitReply
 )
 
 
@@ -185,7 +190,7 @@
     return NO_LIMIT if value is None else max(0.0, value)
 
 
-def loads_of(news: PeerNews) -> dict[str, Load]:
+def decode_loads(news: GossipMessage) -> dict[str, Load]:
     """Return the loads that a message tells."""
     return {
         endpoint: Load(requests, leading, cells)
--- a/packages/relay/src/lacewingcourse/relay/peers.py
+++ b/packages/relay/src/lacewingcourse/relay/peers.py
@@ -12,8 +12,8 @@
 
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.peer_messages import (
-    FleetNews,
-    PeerNews,
+    FleetSnapshot,
+    GossipMessage,
     decode,
     encode,
 )
@@ -29,7 +29,7 @@
 
 #: Seconds between two rounds. Loads that are older mislead: in a round an entry of
 #: today's deployments begins two requests.
-PERIOD = 0.2
+GOSSIP_PERIOD = 0.2
 #: Seconds in which another entry must answer. Well above a round trip and below what
 #: makes an entry look silent.
 TIMEOUT = 0.6
@@ -38,12 +38,12 @@
 #: Seconds between two looks at the registry while no other entry is heard.
 REGISTRY_PERIOD = 2.0
 #: Exchanges with other entries that may be under way at once.
-MOST_EXCHANGES = 24
+MAX_EXCHANGES = 24
 #: Level of compression of a version: the quickest. Routes are alike, so that higher
 #: levels save little more.
-COMPRESSION = 1
+COMPRESSION_LEVEL = 1
 #: Path of news.
-NEWS_PATH = "/peer/news"
+GOSSIP_PATH = "/peer/news"
 #: Path of the configuration.
 CONFIGURATION_PATH = "/peer/configuration"
 #: Path of the endpoints.
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class PackedVersion:
+class CompressedVersion:
     """A version of the configuration as other entries get it.
 
     Attributes:
@@ -88,13 +88,13 @@
     on_unreadable: Callable[[], None]
     client: CurlAsyncHTTPClient = attrs.field(
         factory=lambda: CurlAsyncHTTPClient(
-            force_instance=True, max_clients=MOST_EXCHANGES
+            force_instance=True, max_clients=MAX_EXCHANGES
         )
     )
-    fetching: set[str] = attrs.field(factory=set)
-    fetches: dict[str, dict[str, float]] = attrs.field(factory=dict)
+    active_exchanges: set[str] = attrs.field(factory=set)
+    active_fetches: dict[str, dict[str, float]] = attrs.field(factory=dict)
     wake: asyncio.Event = attrs.field(factory=asyncio.Event)
-    packed: PackedVersion | None = None
+    compressed: CompressedVersion | None = None
 
     @property
     def book(self) -> PeerBook:
@@ -104,7 +104,7 @@
     def handlers(self) -> dict:
         """Return what answers other entries."""
         return {
-            ("POST", NEWS_PATH): self._on_news,
+            ("POST", GOSSIP_PATH): self._on_gossip,
             ("GET", CONFIGURATION_PATH): self._on_configuration,
             ("GET", FLEET_PATH): self._on_fleet,
         }
@@ -118,10 +118,10 @@
             urgent = self.wake.is_set()
             self.wake.clear()
             for peer in self.book.partners(now, urgent):
-                self._begin(peer.address, peer.name, peer.zone)
+                self._start_exchange(peer.address, peer.name, peer.zone)
             self._try_seeds()
             try:
-                async with asyncio.timeout(PERIOD):
+                async with asyncio.timeout(GOSSIP_PERIOD):
                     await self.wake.wait()
             except TimeoutError:
                 pass
@@ -139,10 +139,10 @@
                 )
                 announced = failed is None
             if len(self.book.alive(self.clock())) == 1:
-                await self._look_up()
+                await self._query_registry()
             await asyncio.sleep(REGISTRY_PERIOD)
 
-    async def _look_up(self) -> None:
+    async def _query_registry(self) -> None:
         found = await self.registry.listed()
         if isinstance(found, Unavailable):
             return
@@ -150,7 +150,7 @@
         for name, address in found.items():
             self.book.learn(name, address, now)
 
-    def tell_now(self) -> None:
+    def exchange_now(self) -> None:
         """Tell the others at once, since something changed that binds them."""
         self.wake.set()
 
@@ -159,23 +159,23 @@
         known = {peer.address for peer in self.book.peers.values()}
         for seed in self.seeds:
             if seed != self.gossip.address and seed not in known:
-                self._begin(seed)
+                self._start_exchange(seed)
 
-    def _begin(self, address: str, name: str = "", zone: str = "") -> None:
+    def _start_exchange(self, address: str, name: str = "", zone: str = "") -> None:
         """Begin an exchange unless one with the same entry is under way."""
-        if address not in self.fetching:
-            self.fetching.add(address)
-            news = encode(self.gossip.news_for(name, zone))
-            asyncio.ensure_future(self._exchange(address, news))
+        if address not in self.active_exchanges:
+            self.active_exchanges.add(address)
+            message = encode(self.gossip.message_for(name, zone))
+            asyncio.ensure_future(self._exchange(address, message))
 
-    async def _exchange(self, address: str, news: bytes) -> None:
+    async def _exchange(self, address: str, message: bytes) -> None:
         try:
-            body = await self.fetch(address, NEWS_PATH, news)
-            found = self._read(body, PeerNews, address)
+            body = await self.fetch(address, GOSSIP_PATH, message)
+            found = self._decode(body, GossipMessage, address)
             if found is not None:
-                self.take(found)
+                self.receive(found)
         finally:
-            self.fetching.discard(address)
+            self.active_exchanges.discard(address)
 
     async def fetch(
         self, address: str, path: str, body: bytes | None = None
@@ -194,72 +194,74 @@
             return None
         return response.body if response.code == 200 else None
 
-    def take(self, news: PeerNews) -> None:
+    def receive(self, message: GossipMessage) -> None:
         """Learn from another entry, and fetch what it knows better."""
         with self.gossip.routing_state.watch.section("news of a peer"):
-            self.gossip.take(news)
-        time_on_way = self.gossip.time_on_way(news)
-        self._compare_configuration(news, time_on_way)
-        self._compare_fleet(news, time_on_way)
-
-    def _compare_configuration(self, news: PeerNews, time_on_way: float) -> None:
+            self.gossip.receive(message)
+        transit_time = self.gossip.transit_time(message)
+        self._compare_configuration(message, transit_time)
+        self._compare_fleet(message, transit_time)
+
+    def _compare_configuration(
+        self, message: GossipMessage, transit_time: float
+    ) -> None:
         table = self.gossip.routing_state.table
         version = table.version if table else 0
-        if news.version == version and version:
-            known_at = self.gossip.boot_clock() - time_on_way - news.version_age
+        if message.version == version and version:
+            known_at = self.gossip.boot_clock() - transit_time - message.version_age
             self.gossip.configuration.freshness.confirm(known_at)
-        elif news.version > version:
-            self._begin_fetch("configuration", news, self._fetch_configuration)
+        elif message.version > version:
+            self._start_fetch("configuration", message, self._fetch_configuration)
 
-    def _compare_fleet(self, news: PeerNews, time_on_way: float) -> None:
+    def _compare_fleet(self, message: GossipMessage, transit_time: float) -> None:
         """Take over what another entry has read of the directory after this one."""
-        if news.position > (self.gossip.directory.position or 0):
-            self._begin_fetch("fleet", news, self._fetch_fleet)
-        elif news.position == self.gossip.directory.position:
-            age = time_on_way + news.position_age
+        if message.position > (self.gossip.directory.position or 0):
+            self._start_fetch("fleet", message, self._fetch_fleet)
+        elif message.position == self.gossip.directory.position:
+            age = transit_time + message.position_age
             freshness = self.gossip.directory.freshness
             freshness.confirm(self.gossip.boot_clock() - age)
             self.gossip.routing_state.fleet.confirm(self.clock() - age)
 
-    def _begin_fetch(self, what: str, news: PeerNews, fetch) -> None:
+    def _start_fetch(self, resource: str, message: GossipMessage, fetch) -> None:
         """Fetch from an entry unless another fetch of the same has just begun.
 
         One from an entry that has stopped holds up the others for a moment only.
         """
         now = self.clock()
-        under_way = self.fetches.setdefault(what, {})
-        if news.address in under_way:
+        under_way = self.active_fetches.setdefault(resource, {})
+        if message.address in under_way:
             return
         if any(now - began_at < HEDGE_DELAY for began_at in under_way.values()):
             return
-        under_way[news.address] = now
-        asyncio.ensure_future(self._fetching(what, news, fetch))
+        under_way[message.address] = now
+        asyncio.ensure_future(self._run_fetch(resource, message, fetch))
 
-    async def _fetching(self, what: str, news: PeerNews, fetch) -> None:
+    async def _run_fetch(self, resource: str, message: GossipMessage, fetch) -> None:
         try:
-            await fetch(news)
+            await fetch(message)
         finally:
-            del self.fetches[what][news.address]
+            del self.active_fetches[resource][message.address]
 
-    async def _fetch_configuration(self, news: PeerNews) -> None:
-        body = await self.fetch(news.address, CONFIGURATION_PATH)
+    async def _fetch_configuration(self, message: GossipMessage) -> None:
+        body = await self.fetch(message.address, CONFIGURATION_PATH)
         if not body:
             return
         found = self.gossip.configuration.source.decode(body)
         if isinstance(found, Undecodable):
-            self.gossip.configuration.refuse(found, news.name)
+            self.gossip.configuration.refuse(found, message.name)
         else:
-            self.gossip.configuration.take(found, news.name)
+            self.gossip.configuration.take(found, message.name)
 
-    async def _fetch_fleet(self, news: PeerNews) -> None:
+    async def _fetch_fleet(self, message: GossipMessage) -> None:
         sent_at = self.gossip.boot_clock()
-        body = await self.fetch(news.address, FLEET_PATH)
-        found = self._read(body, FleetNews, news.address)
+        body = await self.fetch(message.address, FLEET_PATH)
+        found = self._decode(body, FleetSnapshot, message.address)
         if found is not None:
-            time_on_way = self.gossip.boot_clock() - sent_at
-            self.gossip.directory.from_peer(found, news.name, time_on_way)
+            transit_time = self.gossip.boot_clock() - sent_at
+            self.gossip.directory.from_peer(found, message.name, transit_time)
 
-    def _read(self, body: bytes | None, kind: type, origin: str):
+    def _decode(self, body: bytes | None, kind: type, origin: str):
         """Return the message that a body holds, None if there is none."""
         if not body:
             return None
@@ -272,12 +274,12 @@
             return None
         return found
 
-    def _on_news(self, request: ServerRequest) -> Reply:
-        news = self._read(request.body, PeerNews, "a caller")
-        if news is None:
+    def _on_gossip(self, request: ServerRequest) -> Reply:
+        message = self._decode(request.body, GossipMessage, "a caller")
+        if message is None:
             return Reply(400)
-        self.take(news)
-        return Reply(200, encode(self.gossip.news_for(news.name, news.zone)))
+        self.receive(message)
+        return Reply(200, encode(self.gossip.message_for(message.name, message.zone)))
 
     def _on_configuration(self, request: ServerRequest) -> Reply:
         table = self.gossip.routing_state.table
@@ -285,20 +287,20 @@
             return Reply(404)
         # Other entries ask together, and their links are small: a version in full holds
         # up the events of every stream on both sides.
-        if self.packed is None or self.packed.version != table.version:
-            body = gzip.compress(table.document, COMPRESSION)
-            self.packed = PackedVersion(table.version, body)
-        return Reply(200, self.packed.body, encoding="gzip")
+        if self.compressed is None or self.compressed.version != table.version:
+            body = gzip.compress(table.document, COMPRESSION_LEVEL)
+            self.compressed = CompressedVersion(table.version, body)
+        return Reply(200, self.compressed.body, encoding="gzip")
 
     def _on_fleet(self, request: ServerRequest) -> Reply:
         if self.gossip.directory.position is None:
             return Reply(404)
         now = self.clock()
         fleet = self.gossip.routing_state.fleet
-        news = FleetNews(
+        message = FleetSnapshot(
             position=self.gossip.directory.position,
             age=self.gossip.directory.freshness.age(self.gossip.boot_clock()),
             endpoints=list(fleet.endpoints.values()),
             lapsed={name: until - now for name, until in fleet.lapsed.items()},
         )
-        return Reply(200, encode(news))
+        return Reply(200, encode(message))
--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -7,8 +7,8 @@
 from lacewingcourse.core.pipelines.freshness import Freshness
 from lacewingcourse.core.pipelines.peers import PeerBook, Role
 from lacewingcourse.relay.gossip import Gossip
-from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
-from lacewingcourse.relay.peers import PERIOD
+from lacewingcourse.relay.peer_messages import GossipMessage, decode, encode
+from lacewingcourse.relay.peers import GOSSIP_PERIOD
 from lacewingcourse.relay.routing_state import RoutingState
 
 
@@ -80,14 +80,14 @@
         if other is None:
             return
         self.exchanges += 1
-        other.take(decode(encode(one.news_for(other_name, zone)), PeerNews))
-        answer = other.news_for(one.name, one.book.zone)
-        one.take(decode(encode(answer), PeerNews))
+        other.receive(decode(encode(one.message_for(other_name, zone)), GossipMessage))
+        answer = other.message_for(one.name, one.book.zone)
+        one.receive(decode(encode(answer), GossipMessage))
 
     def rounds(self, count: int) -> None:
         """Let all entries speak for some rounds."""
         for _ in range(count):
-            self.clock.now += PERIOD
+            self.clock.now += GOSSIP_PERIOD
             for entry in list(self.entries.values()):
                 entry.book.expire(self.clock.now)
                 entry.routing_state.loads.expire(self.clock.now)
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/restarts.py
@@ -20,8 +20,8 @@
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.gossip import Gossip
 from lacewingcourse.relay.leaving import Departure
-from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
-from lacewingcourse.relay.peers import PERIOD
+from lacewingcourse.relay.peer_messages import GossipMessage, decode, encode
+from lacewingcourse.relay.peers import GOSSIP_PERIOD
 from lacewingcourse.relay.readiness import Readiness
 from lacewingcourse.relay.routing_state import RoutingState
 
@@ -214,23 +214,23 @@
 
     async def _speak(self, name: str, process: Process) -> None:
         """Speak with the other entries as long as a process runs."""
-        await asyncio.sleep(self.rng.uniform(0.0, PERIOD))
+        await asyncio.sleep(self.rng.uniform(0.0, GOSSIP_PERIOD))
         while self.processes.get(name) is process:
             for peer in process.gossip.book.partners(self.clock()):
                 asyncio.ensure_future(self._exchange(process, peer.name))
-            await asyncio.sleep(PERIOD)
+            await asyncio.sleep(GOSSIP_PERIOD)
 
     async def _exchange(self, process: Process, other_name: str) -> None:
         """Let a process speak to another one, and that one answer."""
-        news = encode(process.gossip.news_for(other_name, ""))
+        news = encode(process.gossip.message_for(other_name, ""))
         await asyncio.sleep(TRIP)
         other = self.processes.get(other_name)
         if other is None:
             return
-        other.gossip.take(decode(news, PeerNews))
-        answer = encode(other.gossip.news_for(process.gossip.name, ""))
+        other.gossip.receive(decode(news, GossipMessage))
+        answer = encode(other.gossip.message_for(process.gossip.name, ""))
         await asyncio.sleep(TRIP)
-        process.gossip.take(decode(answer, PeerNews))
+        process.gossip.receive(decode(answer, GossipMessage))
 
     async def restart(self, name: str) -> None:
         """Ask an entry to end, and start it again."""
@@ -258,7 +258,7 @@
         """Restart all entries, each with an open answer."""
         for name in self.names:
             self.start(name)
-        await asyncio.sleep(5 * PERIOD)
+        await asyncio.sleep(5 * GOSSIP_PERIOD)
         restarts = []
         for name in self.names:
             self.processes[name].call(self.lengths(self.rng))
--- a/packages/relay/tests/relay/test_decoding.py
+++ b/packages/relay/tests/relay/test_decoding.py
@@ -13,8 +13,8 @@
 from lacewingcourse.core.pipelines.shape import Layers
 from lacewingcourse.relay.decoding import MOST_REASON, StrictDecoder, Undecodable
 from lacewingcourse.relay.peer_messages import (
-    FleetNews,
-    PeerNews,
+    FleetSnapshot,
+    GossipMessage,
     Scope,
     decode,
     encode,
@@ -46,10 +46,10 @@
 GOOD = {"count": 1, "share": 0.5, "name": "a", "sure": True}
 
 
-def news(**changes) -> PeerNews:
+def news(**changes) -> GossipMessage:
     """Return a message of an entry."""
     return attrs.evolve(
-        PeerNews(
+        GossipMessage(
             name="entry-1",
             zone="east",
             address="10.0.0.1:1",
@@ -105,19 +105,21 @@
 def test_messages_between_entries_come_back_as_they_were():
     endpoint = Endpoint("a@5", "rooms", "10.0.0.1:1", "east", 6, name="a", born=5)
     endpoint = attrs.evolve(endpoint, layers=Layers(0, 4), sequence=9)
-    fleet = FleetNews(position=1, age=0.5, endpoints=[endpoint], lapsed={"a@5": 1.0})
-    assert decode(encode(fleet), FleetNews) == fleet
-    assert decode(encode(news()), PeerNews) == news()
+    fleet = FleetSnapshot(
+        position=1, age=0.5, endpoints=[endpoint], lapsed={"a@5": 1.0}
+    )
+    assert decode(encode(fleet), FleetSnapshot) == fleet
+    assert decode(encode(news()), GossipMessage) == news()
 
 
 @given(st.binary())
 def test_no_bytes_raise(body):
-    for kind in (PeerNews, FleetNews):
+    for kind in (GossipMessage, FleetSnapshot):
         assert isinstance(decode(body, kind), (kind, Undecodable))
 
 
-@given(st.sampled_from([a.name for a in attrs.fields(PeerNews)]), DOCUMENTS)
+@given(st.sampled_from([a.name for a in attrs.fields(GossipMessage)]), DOCUMENTS)
 def test_no_value_in_a_message_raises(field, value):
     document = orjson.loads(encode(news())) | {field: value}
-    found = decode(json.dumps(document).encode(), PeerNews)
-    assert isinstance(found, (PeerNews, Undecodable))
+    found = decode(json.dumps(document).encode(), GossipMessage)
+    assert isinstance(found, (GossipMessage, Undecodable))
--- a/packages/relay/tests/relay/test_endings.py
+++ b/packages/relay/tests/relay/test_endings.py
@@ -15,7 +15,7 @@
 from lacewingcourse.relay.decisions import DecisionLog
 from lacewingcourse.relay.endings import Endings
 from lacewingcourse.relay.leaving import BALANCER_DELAY
-from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
+from lacewingcourse.relay.peer_messages import GossipMessage, decode, encode
 from lacewingcourse.relay.readiness import END_MARGIN, Readiness
 from lacewingcourse.relay.routing_state import RoutingState
 
@@ -122,9 +122,9 @@
 
 def test_a_message_of_an_entry_that_does_not_tell_its_end_is_read():
     entry = Network({"a": 1}).entries["a-00"]
-    document = orjson.loads(encode(entry.news_for("", "")))
+    document = orjson.loads(encode(entry.message_for("", "")))
     del document["ends_in"]
-    assert decode(orjson.dumps(document), PeerNews).ends_in is None
+    assert decode(orjson.dumps(document), GossipMessage).ends_in is None
 
 
 def heard_end(restarts: Restarts, name: str) -> list[float]:
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -9,7 +9,7 @@
 from lacewingcourse.core.pipelines.peers import MEMBER_RANK, PEER_SILENT, Role
 from lacewingcourse.core.pipelines.request_limits import NO_LIMIT
 from lacewingcourse.core.pipelines.retry_budget import COUNTING_TIME
-from lacewingcourse.relay.peers import PERIOD, REGISTRY_PERIOD
+from lacewingcourse.relay.peers import GOSSIP_PERIOD, REGISTRY_PERIOD
 
 from .network import Network
 
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("zones", [{"a": 2, "b": 1}, dict.fromkeys("abcde", 14)])
 def test_entries_are_counted_before_they_use_their_shares_of_the_retries(zones):
     network = Network(zones)
-    network.rounds(int((COUNTING_TIME - REGISTRY_PERIOD) / PERIOD))
+    network.rounds(int((COUNTING_TIME - REGISTRY_PERIOD) / GOSSIP_PERIOD))
     counts = {e.book.count(network.clock()) for e in network.entries.values()}
     assert counts == {sum(zones.values())}
 
@@ -68,7 +68,7 @@
     assert counts == {28}
 
 
-def test_one_entry_reads_for_all(large):
+def test_hubs_have_distinct_ranks_before_members(large):
     ranks = sorted(e.book.rank(large.clock()) for e in large.entries.values())
     assert ranks[:7] == [0, 1, 2, 3, 4, 5, 10]
 
@@ -76,25 +76,28 @@
 @pytest.mark.parametrize(
     "zones", [{"a": 2, "b": 2, "c": 1}, {"a": 10, "b": 9, "c": 9}], ids=["few", "many"]
 )
-def test_an_entry_that_the_platform_does_not_answer_leaves_reading_to_the_next(zones):
+def test_an_entry_without_the_platform_is_the_last_reader(zones):
     network = Network(zones)
     network.rounds(15)
     first, second = "a-00", "a-01" if zones["a"] == 2 else "b-00"
     cut = network.entries[first]
-    cut.configuration = follower_of_a_cut_entry(cut.configuration)
+    cut.configuration = unreachable_follower(cut.configuration)
     network.rounds(3)
     now = network.clock()
-    ranks = {n: e.book.reader_rank(now, e.reads) for n, e in network.entries.items()}
+    ranks = {
+        n: e.book.reader_rank(now, e.platform_reachable)
+        for n, e in network.entries.items()
+    }
     assert ranks[second] == 0
     assert ranks[first] == max(r for r in ranks.values() if r < MEMBER_RANK)
 
 
-def follower_of_a_cut_entry(follower: SimpleNamespace) -> SimpleNamespace:
+def unreachable_follower(follower: SimpleNamespace) -> SimpleNamespace:
     """Return what follows a platform that does not answer."""
     return SimpleNamespace(**vars(follower) | {"reachable": False})
 
 
-def test_a_suspicion_reaches_all_and_dies_out(large):
+def test_a_suspicion_reaches_all_entries_and_expires(large):
     large.entries["c-05"].routing_state.suspects.suspect("x", "reset", large.clock())
     large.rounds(4)
     left_out = [
@@ -133,7 +136,7 @@
     assert names <= set(network.entries)
 
 
-def test_losses_under_a_request_reach_all(large):
+def test_crashes_under_a_request_reach_all_entries(large):
     for number, name in enumerate(["a-05", "b-05", "c-05"]):
         crashes = large.entries[name].routing_state.crashes
         crashes.strike("r", f"x{number}", large.clock())
@@ -147,7 +150,7 @@
 def test_entries_find_new_hubs_after_those_of_a_zone_are_gone(large):
     for name in ("b-00", "b-01"):
         del large.entries[name]
-    large.rounds(int(3 * PEER_SILENT / PERIOD))
+    large.rounds(int(3 * PEER_SILENT / GOSSIP_PERIOD))
     hubs = {name for name, role in large.roles().items() if role is Role.HUB}
     assert {"b-02", "b-03"} <= hubs
     give_loads(large)
@@ -156,7 +159,7 @@
     assert loads == {26}
 
 
-def test_a_deployment_that_shrinks_speaks_directly_again(large):
+def test_a_deployment_that_shrinks_returns_to_a_full_mesh(large):
     for name in list(large.entries)[:20]:
         del large.entries[name]
     large.rounds(150)
@@ -167,7 +170,7 @@
     assert loads == {8}
 
 
-def test_entries_of_other_zones_are_left_to_the_hubs(large):
+def test_only_hubs_exchange_messages_across_zones(large):
     """A round has one exchange of each member, and those between hubs."""
     large.rounds(10)
     before = large.exchanges
--- a/packages/relay/tests/relay/test_large_duty.py
+++ b/packages/relay/tests/relay/test_large_duty.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lacewingcourse.relay.duty_holder import HOLDER_SILENT, DutyHolder
-from lacewingcourse.relay.peers import PERIOD as EXCHANGE_PERIOD
+from lacewingcourse.relay.peers import GOSSIP_PERIOD as EXCHANGE_PERIOD
 from lacewingcourse.relay.placement_duty import PERIOD
 from lacewingcourse.relay.ports import Lease
 
--- a/packages/relay/tests/relay/test_peers.py
+++ b/packages/relay/tests/relay/test_peers.py
@@ -9,7 +9,7 @@
 
 from lacewingcourse.relay.peers import (
     CONFIGURATION_PATH,
-    PERIOD,
+    GOSSIP_PERIOD,
     TIMEOUT,
     PeerExchange,
 )
@@ -24,18 +24,18 @@
 )
 
 
-def exchange(document: bytes) -> PeerExchange:
+def make_exchange(document: bytes) -> PeerExchange:
     """Return what speaks with other entries where a version is in force."""
     table = SimpleNamespace(version=7, document=document)
     gossip = SimpleNamespace(routing_state=SimpleNamespace(table=table))
     return PeerExchange(gossip, (), None, lambda: 0.0, lambda: None)
 
 
-def test_a_version_takes_little_of_the_links_of_entries():
+def test_a_version_is_sent_compressed():
     """A version filled the link of a small entry, and events came late behind it."""
 
     async def fetched():
-        peers = exchange(DOCUMENT)
+        peers = make_exchange(DOCUMENT)
         server = HTTPServer(SmallServer(peers.handlers()))
         server.listen(0, "127.0.0.1")
         (listening,) = server._sockets.values()
@@ -45,11 +45,11 @@
         finally:
             server.stop()
             await server.close_all_connections()
-        return body, peers.packed
+        return body, peers.compressed
 
-    body, packed = asyncio.run(fetched())
+    body, compressed = asyncio.run(fetched())
     assert body == DOCUMENT
-    assert len(packed.body) < len(DOCUMENT) / 5
+    assert len(compressed.body) < len(DOCUMENT) / 5
 
 
 def test_a_version_is_fetched_elsewhere_when_an_entry_has_stopped():
@@ -57,7 +57,7 @@
 
     async def fetched():
         loop = asyncio.get_running_loop()
-        peers = exchange(DOCUMENT)
+        peers = make_exchange(DOCUMENT)
         peers.clock = loop.time
         asked = []
 
@@ -69,20 +69,20 @@
         for _ in range(4):
             for address in ("stopped", "sound"):
                 news = SimpleNamespace(address=address)
-                peers._begin_fetch("configuration", news, fetch)
-            await asyncio.sleep(PERIOD / 2)
+                peers._start_fetch("configuration", news, fetch)
+            await asyncio.sleep(GOSSIP_PERIOD / 2)
         await asyncio.sleep(TIMEOUT)
-        return asked, peers.fetches
+        return asked, peers.active_fetches
 
     asked, left = play(fetched())
     addresses = [address for address, _ in asked]
     assert addresses.count("stopped") == 1
-    assert dict(reversed(asked))["sound"] <= PERIOD
+    assert dict(reversed(asked))["sound"] <= GOSSIP_PERIOD
     assert left == {"configuration": {}}
 
 
 def test_a_version_is_compressed_once():
-    peers = exchange(DOCUMENT)
+    peers = make_exchange(DOCUMENT)
     first = peers._on_configuration(None)
     assert peers._on_configuration(None).body is first.body
     peers.gossip.routing_state.table = SimpleNamespace(version=8, document=b"{}")
