--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -184,7 +184,7 @@
             self._reader_rank,
             self._on_configuration,
             budget,
-            draw=rng.random,
+            jitter=rng.random,
             on_read=self.metrics.configuration_read,
         )
         self.directory = DirectoryFollower(
@@ -198,7 +198,7 @@
             self.metrics.unreadable_entries.inc,
             PropagationBudget(self.settings.bounds.departure),
             watch=self.watch,
-            draw=rng.random,
+            jitter=rng.random,
             boot_clock=self.boot_clock,
         )
         for follower in (self.configuration, self.directory):
--- a/packages/relay/src/lacewingcourse/relay/followers.py
+++ b/packages/relay/src/lacewingcourse/relay/followers.py
@@ -36,15 +36,15 @@
 #: the time, so that reads that waited for a change would follow one another at once.
 DIRECTORY_PERIOD = 0.5
 #: Seconds between two looks at whether this entry has to read.
-LOOK_PERIOD = 0.05
+CHECK_PERIOD = 0.05
 #: Origin of what this entry read itself, as log lines show it.
-SOURCE = "store"
+STORE_ORIGIN = "store"
 #: Endpoints that a line about those of another entry shows; a longer line may be cut by
 #: the pipe that takes it.
-MOST_SHOWN = 128
+MAX_LOGGED_ENDPOINTS = 128
 #: Unreadable entries that are remembered, so that each is told once. A listing holds
 #: one record for each key, and the store's records of 400 MB bound their number.
-MOST_TOLD = 256
+MAX_REMEMBERED_UNREADABLE = 256
 
 
 @attrs.define
@@ -77,13 +77,13 @@
     budget: PropagationBudget
     freshness: Freshness = attrs.field()
     reachable: bool = True
-    in_step: bool = False
+    in_sync: bool = False
     unreadable: bool = False
-    draw: Callable[[], float] = lambda: 0.0
+    jitter: Callable[[], float] = lambda: 0.0
     on_read: Callable[[str], None] = lambda result: None
 
     @freshness.default
-    def _unknown_age(self) -> Freshness:
+    def _initial_freshness(self) -> Freshness:
         return self.budget.freshness()
 
     async def run(self) -> None:
@@ -92,40 +92,40 @@
             if self.freshness.due(self.rank(), self.clock()):
                 await self.read()
             else:
-                await asyncio.sleep(LOOK_PERIOD)
+                await asyncio.sleep(CHECK_PERIOD)
 
     async def read(self) -> None:
         """Read once, waiting for a change if the newest version is known."""
         sent_at = self.clock()
-        if self.in_step:
+        if self.in_sync:
             found = await self.source.next(self.budget.wait)
         else:
             found = await self.source.newest()
         now = self.clock()
         if isinstance(found, Unavailable):
             self.on_read("unavailable")
-            self.freshness.failed(now, self.draw())
-            self._lost(found)
+            self.freshness.failed(now, self.jitter())
+            self._note_unavailable(found)
             return
         self._log_read(found, now - sent_at, self.freshness.age(now))
-        self._regained()
-        self.in_step = not found.behind
+        self._note_available()
+        self.in_sync = not found.behind
         if found.table is not None:
             self.unreadable = isinstance(found.table, Undecodable)
         if self.unreadable:
-            self.freshness.failed(now, self.draw())
+            self.freshness.failed(now, self.jitter())
         elif not found.behind:
             self.freshness.succeeded(now, sent_at + found.waited)
         if isinstance(found.table, Undecodable):
-            self.refuse(found.table, SOURCE)
+            self.log_unreadable(found.table, STORE_ORIGIN)
         elif found.table is not None:
-            self.take(found.table, SOURCE)
+            self.apply(found.table, STORE_ORIGIN)
 
-    def take(self, table: RoutingTable, origin: str) -> None:
+    def apply(self, table: RoutingTable, origin: str) -> None:
         """Put a version in force unless a newer one is."""
         if not self.routing_state.accept(table):
             return
-        self.in_step = origin == SOURCE
+        self.in_sync = origin == STORE_ORIGIN
         age = self.freshness.age(self.clock())
         self.log.belief(
             "configuration",
@@ -137,7 +137,7 @@
 
     def _log_read(self, found: ConfigurationNews, took: float, age: float) -> None:
         """Count a read that was answered, and tell of one that brought something."""
-        self.on_read(_result_of(found))
+        self.on_read(_read_result(found))
         if not found.records:
             return
         self.log.belief(
@@ -148,22 +148,22 @@
             age_ms=round(age * 1000, 1),
         )
 
-    def refuse(self, found: Undecodable, origin: str) -> None:
+    def log_unreadable(self, found: Undecodable, origin: str) -> None:
         """Tell of a version that cannot be read; what is in force stays."""
         self.log.belief("configuration_unreadable", reason=found.reason, origin=origin)
 
-    def _lost(self, found: Unavailable) -> None:
+    def _note_unavailable(self, found: Unavailable) -> None:
         if self.reachable:
             self.reachable = False
             self.log.belief("configuration_source_lost", reason=found.reason)
 
-    def _regained(self) -> None:
+    def _note_available(self) -> None:
         if not self.reachable:
             self.reachable = True
             self.log.belief("configuration_source_regained")
 
 
-def _result_of(found: ConfigurationNews) -> str:
+def _read_result(found: ConfigurationNews) -> str:
     """Return what a read of the configuration brought, for the metrics."""
     if found.behind:
         return "behind"
@@ -191,7 +191,7 @@
         position: How far the directory was read, None before a whole listing.
         freshness: How old the knowledge is.
         reachable: Whether the directory answered last.
-        told: Unreadable entries that were logged, oldest first.
+        logged_unreadable: Unreadable entries that were logged, oldest first.
         watch: Notes what holds up the loop.
         draw: Returns a number from 0 to 1 that spreads the entries.
     """
@@ -208,13 +208,13 @@
     position: int | None = None
     freshness: Freshness = attrs.field()
     reachable: bool = True
-    told: dict[UnreadableEntry, None] = attrs.field(factory=dict)
+    logged_unreadable: dict[UnreadableEntry, None] = attrs.field(factory=dict)
     watch: LoopWatch = attrs.field(factory=LoopWatch)
-    draw: Callable[[], float] = lambda: 0.0
+    jitter: Callable[[], float] = lambda: 0.0
     boot_clock: Callable[[], float] = attrs.field()
 
     @freshness.default
-    def _unknown_age(self) -> Freshness:
+    def _initial_freshness(self) -> Freshness:
         return self.budget.freshness()
 
     @boot_clock.default
@@ -224,7 +224,7 @@
     @property
     def period(self) -> float:
         """Seconds between two reads, less what a look at it may be late."""
-        return min(DIRECTORY_PERIOD, self.budget.wait) - LOOK_PERIOD
+        return min(DIRECTORY_PERIOD, self.budget.wait) - CHECK_PERIOD
 
     async def run(self) -> None:
         """Follow the directory for ever."""
@@ -233,111 +233,113 @@
                 await self.poll()
             for endpoint in self.routing_state.fleet.expire(self.clock()):
                 self.log.belief("endpoint_lapsed", endpoint=endpoint)
-            await asyncio.sleep(LOOK_PERIOD)
+            await asyncio.sleep(CHECK_PERIOD)
 
     async def poll(self) -> None:
         """Read once what changed."""
         sent_at, boot_sent_at = self.clock(), self.boot_clock()
-        news = await self.directory.poll(self.position)
+        update = await self.directory.poll(self.position)
         now, boot_now = self.clock(), self.boot_clock()
         fleet = self.routing_state.fleet
-        if isinstance(news, Unavailable):
+        if isinstance(update, Unavailable):
             if self.reachable:
                 self.reachable = False
-                self.log.belief("directory_lost", reason=news.reason)
-            self.freshness.failed(boot_now, self.draw())
+                self.log.belief("directory_lost", reason=update.reason)
+            self.freshness.failed(boot_now, self.jitter())
             return
         if not self.reachable:
             self.reachable = True
             self.log.belief("directory_regained", known_for=now - fleet.known_at)
         fleet.confirm(sent_at)
         revision = fleet.revision
-        self.apply(news, now)
+        self.apply(update, now)
         self.freshness.succeeded(boot_now, boot_sent_at, self.period)
         if fleet.revision != revision:
             self.on_change()
 
-    def from_peer(self, news: FleetSnapshot, peer: str, transit_time: float) -> None:
+    def from_peer(
+        self, snapshot: FleetSnapshot, peer: str, transit_time: float
+    ) -> None:
         """Take the endpoints that another entry knows, if it has read further.
 
         Args:
-            news: What it told.
+            snapshot: What it told.
             peer: Its name.
             time_on_way: Seconds since it was asked.
         """
-        if self.position is not None and news.position <= self.position:
+        if self.position is not None and snapshot.position <= self.position:
             return
         now = self.clock()
-        age = news.age + transit_time
-        entries = tuple(EndpointEntry(e.name, e) for e in news.endpoints)
+        age = snapshot.age + transit_time
+        entries = tuple(EndpointEntry(e.name, e) for e in snapshot.endpoints)
         self.routing_state.fleet.confirm(now - age)
         with self.watch.section("endpoints from a peer"):
             changed = self.apply(
-                DirectoryNews(True, entries, news.position), now, told=False
+                DirectoryNews(True, entries, snapshot.position), now, log_changes=False
             )
         if changed:
             self.log.belief(
                 "endpoints",
                 origin=peer,
-                position=news.position,
+                position=snapshot.position,
                 changes=len(changed),
-                layers={e.id: _range(e) for e in changed[:MOST_SHOWN]},
+                layers={e.id: _layer_bounds(e) for e in changed[:MAX_LOGGED_ENDPOINTS]},
             )
-        for endpoint, remaining in news.lapsed.items():
+        for endpoint, remaining in snapshot.lapsed.items():
             self.routing_state.fleet.lapsed.setdefault(endpoint, now + remaining)
         self.freshness.confirm(self.boot_clock() - age)
 
     def apply(
-        self, news: DirectoryNews, now: float, told: bool = True
+        self, update: DirectoryNews, now: float, log_changes: bool = True
     ) -> list[Endpoint]:
         """Take what the directory told; return the endpoints that changed.
 
         Args:
-            news: What it told.
+            update: What it told.
             now: Present time in seconds.
-            told: Whether each change gets a line in the log. What came from another
+            log_changes: Whether each change gets a line in the log. What came from another
                 entry was told there.
         """
         fleet = self.routing_state.fleet
         changed: list[Endpoint] = []
-        for entry in news.entries:
+        for entry in update.entries:
             if entry.endpoint is not None:
-                if self._put(entry.endpoint, told):
+                if self._update_endpoint(entry.endpoint, log_changes):
                     changed.append(entry.endpoint)
             elif fleet.remove(entry.name, now):
                 self.log.belief("endpoint_gone", endpoint=entry.name)
-        for unreadable in news.unreadable:
-            self._refuse(unreadable)
-        if news.whole:
-            listed = (*news.entries, *news.unreadable)
+        for unreadable in update.unreadable:
+            self._note_unreadable(unreadable)
+        if update.whole:
+            listed = (*update.entries, *update.unreadable)
             fleet.keep_only({entry.name for entry in listed}, now)
-        self.position = news.position
+        self.position = update.position
         return changed
 
-    def _put(self, endpoint: Endpoint, told: bool) -> bool:
+    def _update_endpoint(self, endpoint: Endpoint, log_changes: bool) -> bool:
         """Take an entry that names an endpoint; tell whether it changed anything."""
         known = self.routing_state.fleet.named(endpoint.name)
         recognised = self.routing_state.is_configured(endpoint)
         effect = self.routing_state.fleet.put(endpoint, recognised)
         changed = effect in (EntryEffect.CHANGED, EntryEffect.RESTARTED)
-        if told and changed:
-            self._tell(endpoint)
+        if log_changes and changed:
+            self._log_endpoint(endpoint)
         if effect is EntryEffect.RESTARTED:
             self.log.belief("endpoint_restarted", endpoint=endpoint.id, ended=known.id)
             self.on_restart(known.id)
         return changed
 
-    def _refuse(self, entry: UnreadableEntry) -> None:
+    def _note_unreadable(self, entry: UnreadableEntry) -> None:
         """Count an unreadable entry, and tell of it once."""
         self.on_unreadable()
-        if entry in self.told:
+        if entry in self.logged_unreadable:
             return
         self.log.belief("entry_unreadable", endpoint=entry.name, reason=entry.reason)
-        self.told[entry] = None
-        while len(self.told) > MOST_TOLD:
-            del self.told[next(iter(self.told))]
+        self.logged_unreadable[entry] = None
+        while len(self.logged_unreadable) > MAX_REMEMBERED_UNREADABLE:
+            del self.logged_unreadable[next(iter(self.logged_unreadable))]
 
-    def _tell(self, endpoint: Endpoint) -> None:
+    def _log_endpoint(self, endpoint: Endpoint) -> None:
         """Tell what is believed of an endpoint from now on."""
         self.log.belief(
             "endpoint",
@@ -346,11 +348,11 @@
             zone=endpoint.zone,
             kind=endpoint.accelerator,
             leaving=endpoint.leaving,
-            layers=_range(endpoint),
+            layers=_layer_bounds(endpoint),
         )
 
 
-def _range(endpoint: Endpoint) -> list[int] | None:
+def _layer_bounds(endpoint: Endpoint) -> list[int] | None:
     """Return the layers that an endpoint holds as log lines show them."""
     layers = endpoint.layers
     return [layers.start, layers.end] if layers else None
--- a/packages/relay/src/lacewingcourse/relay/peers.py
+++ b/packages/relay/src/lacewingcourse/relay/peers.py
@@ -249,9 +249,9 @@
             return
         found = self.gossip.configuration.source.decode(body)
         if isinstance(found, Undecodable):
-            self.gossip.configuration.refuse(found, message.name)
+            self.gossip.configuration.log_unreadable(found, message.name)
         else:
-            self.gossip.configuration.take(found, message.name)
+            self.gossip.configuration.apply(found, message.name)
 
     async def _fetch_fleet(self, message: GossipMessage) -> None:
         sent_at = self.gossip.boot_clock()
--- a/packages/relay/tests/relay/test_configuration_follower.py
+++ b/packages/relay/tests/relay/test_configuration_follower.py
@@ -36,7 +36,7 @@
     now: float = 100.0
     news: ConfigurationNews = ConfigurationNews(None)
     took: float = 0.0
-    asked: list[str] = attrs.field(factory=list)
+    calls: list[str] = attrs.field(factory=list)
 
     async def newest(self) -> ConfigurationNews:
         return self.answer("newest")
@@ -44,8 +44,8 @@
     async def next(self, wait: float) -> ConfigurationNews:
         return self.answer("next")
 
-    def answer(self, question: str) -> ConfigurationNews:
-        self.asked.append(question)
+    def answer(self, call: str) -> ConfigurationNews:
+        self.calls.append(call)
         self.now += self.took
         return self.news
 
@@ -80,26 +80,28 @@
     assert follower.freshness.due(1, 100.0)
 
 
-def test_an_entry_that_others_told_versions_does_not_read_those_in_between(follower):
+def test_a_follower_skips_versions_before_one_that_a_peer_sent(follower):
     read(follower, ConfigurationNews(table(3), records=1))
     read(follower, ConfigurationNews(None))
-    follower.take(table(9), "another")
+    follower.apply(table(9), "another")
     read(follower, ConfigurationNews(None))
     read(follower, ConfigurationNews(None))
-    assert follower.source.asked == ["newest", "next", "newest", "next"]
+    assert follower.source.calls == ["newest", "next", "newest", "next"]
 
 
-def test_a_late_answer_tells_what_was_the_newest_when_it_was_asked_for(follower):
+def test_a_slow_answer_confirms_the_version_as_of_its_request(follower):
     read(follower, ConfigurationNews(table(3), records=1), took=1.5)
     assert follower.freshness.age(follower.source.now) == pytest.approx(1.5)
 
 
-def test_a_read_that_waited_in_vain_tells_what_was_the_newest_after_its_wait(follower):
+def test_a_read_without_changes_confirms_the_version_as_of_the_end_of_its_wait(
+    follower,
+):
     read(follower, ConfigurationNews(None, waited=0.8), took=1.1)
     assert follower.freshness.age(follower.source.now) == pytest.approx(0.3)
 
 
-def test_a_version_that_cannot_be_read_confirms_nothing_until_a_readable_one_comes(
+def test_an_unreadable_version_confirms_nothing_until_a_readable_one_comes(
     follower,
 ):
     read(follower, ConfigurationNews(table(3), records=1))
@@ -110,12 +112,12 @@
     assert follower.freshness.age(follower.source.now) == pytest.approx(0.1)
 
 
-def test_a_version_that_cannot_be_read_is_not_read_without_a_pause(follower):
+def test_an_unreadable_version_delays_the_next_read(follower):
     read(follower, ConfigurationNews(Undecodable("no JSON"), records=1))
     assert not follower.freshness.due(0, follower.source.now)
 
 
-def test_changed_bounds_hold_for_what_is_known_already(follower):
+def test_changed_bounds_apply_to_known_versions(follower):
     directory = SimpleNamespace(budget=None, freshness=Freshness(9.0, 9.0))
     guard = StalenessGuard()
     entry = SimpleNamespace(
--- a/packages/relay/tests/relay/test_versions.py
+++ b/packages/relay/tests/relay/test_version_changes.py
@@ -22,12 +22,12 @@
 from lacewingcourse.relay.streams import RunResult, StreamEnd, StreamForwarder
 
 #: Turns of the loop between the arrival of an answer and its being read.
-TURNS = 3
+READ_TURNS = 3
 #: What a request needs.
 DEMAND = Demand(1_000, 200)
 
 
-class Anything:
+class NullObject:
     """Takes any call and does nothing."""
 
     def __getattr__(self, name: str):
@@ -38,13 +38,13 @@
 def routing_state(small, shape):
     """Four endpoints, two for each of two layers."""
     found = RoutingState()
-    come(found, rooms=shape)
+    install_version(found, rooms=shape)
     for name, layer in zip("abcd", (0, 0, 1, 1), strict=True):
         found.fleet.put(small(name, layer))
     return found
 
 
-def come(routing_state, **shapes):
+def install_version(routing_state, **shapes):
     """Put a version in force with the figures of some services."""
     services = {
         name: SimpleNamespace(name=name, shape=shape) for name, shape in shapes.items()
@@ -58,7 +58,7 @@
     return attrs.evolve(shape, accelerators=kinds)
 
 
-def job_of(begun=True):
+def make_job(begun=True):
     """Return a request of which events may have been passed on."""
     return SimpleNamespace(
         service="rooms",
@@ -76,15 +76,15 @@
 ):
     """Another version changes steps and kinds, and the service may be gone."""
     finder = PathFinder(routing_state, Random(1), lambda: 0.0)
-    come(routing_state, rooms=attrs.evolve(other_kinds(shape, *kinds), step_ms=3.0))
-    assert not isinstance(finder.find(job_of(), shape, DEMAND), Refusal)
-    come(routing_state)
-    assert not isinstance(finder.find(job_of(), shape, DEMAND), Refusal)
+    install_version(
+        routing_state, rooms=attrs.evolve(other_kinds(shape, *kinds), step_ms=3.0)
+    )
+    assert not isinstance(finder.find(make_job(), shape, DEMAND), Refusal)
+    install_version(routing_state)
+    assert not isinstance(finder.find(make_job(), shape, DEMAND), Refusal)
 
 
-def test_paths_are_not_searched_anew_while_old_and_new_requests_look_in_turn(
-    routing_state, shape
-):
+def test_candidate_paths_are_cached_for_old_and_new_figures(routing_state, shape):
     """A version changes figures while requests wait with those they came with.
 
     Waiting requests and new ones look for paths in turn, and each look throws the
@@ -93,7 +93,7 @@
     are kept for one set of figures of a service only.
     """
     newer = attrs.evolve(shape, step_ms=2.0)
-    come(routing_state, rooms=newer)
+    install_version(routing_state, rooms=newer)
     old = routing_state.paths("rooms", shape, 0.0)
     new = routing_state.paths("rooms", newer, 0.0)
     assert routing_state.paths("rooms", shape, 0.0) is old
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("kinds", [("small", "large"), ("large",)])
-def test_a_rejected_stream_survives_a_version_of_other_kinds(
+def test_a_rejection_is_handled_after_a_version_dropped_the_accelerator_kind(
     routing_state, shape, kinds
 ):
     """A part on a stream's path rejects it after a version has dropped the part's kind.
@@ -111,40 +111,40 @@
     look-up of its kind raises an error.
     """
     path = routing_state.paths("rooms", shape, 0.0)[0]
-    come(routing_state, rooms=other_kinds(shape, *kinds))
+    install_version(routing_state, rooms=other_kinds(shape, *kinds))
     sender = SimpleNamespace(clock=lambda: 0.0)
-    nothing = Anything()
+    nothing = NullObject()
     forwarder = StreamForwarder(
         routing_state, nothing, sender, nothing, Random(1), nothing, nothing, nothing
     )
     result = RunResult(StreamEnd.REJECTED, "rejected", path.parts[1].address)
-    job = job_of()
+    job = make_job()
     forwarder.learn(job, path, result)
     assert job.avoid == {path.parts[1].endpoint}
 
 
-class HeldUp:
+class BlockedLoop:
     """Endpoints that answer at once, to a loop that stands still meanwhile."""
 
-    def __init__(self, stands: bool) -> None:
-        self.stands = stands
+    def __init__(self, blocks: bool) -> None:
+        self.blocks = blocks
         self.now = 0.0
 
     def clock(self) -> float:
         return self.now
 
     async def report(self, address: str, patience: float) -> EngineReport:
-        if self.stands and self.now == 0.0:
+        if self.blocks and self.now == 0.0:
             time.sleep(SECOND_QUESTION + PERIOD / 4)
             self.now = SECOND_QUESTION + PERIOD / 2
-        for _ in range(TURNS):
+        for _ in range(READ_TURNS):
             await asyncio.sleep(0)
         return EngineReport()
 
 
-@pytest.mark.parametrize("stands", [False, True])
-def test_a_stream_stays_where_it_is_while_the_entry_itself_stands_still(
-    routing_state, shape, stands
+@pytest.mark.parametrize("blocks", [False, True])
+def test_a_stream_is_not_moved_because_the_event_loop_was_blocked(
+    routing_state, shape, blocks
 ):
     """The loop stands still for a moment after an endpoint was asked whether it lives.
 
@@ -153,22 +153,22 @@
     of a retry, and where none is left the answer is broken off. Decoding a version
     of a thousand routes, or searching paths once, takes as long as is needed for it.
     """
-    held_up = HeldUp(stands)
+    blocked_loop = BlockedLoop(blocks)
     finder = SimpleNamespace(is_idle=lambda job, avoid: True)
-    nothing = Anything()
+    nothing = NullObject()
     watcher = StallWatcher(
-        held_up,
+        blocked_loop,
         Suspects(),
         SpeedEstimator(),
         finder,
-        held_up.clock,
+        blocked_loop.clock,
         nothing,
         nothing.on_suspect,
         lambda name, born: False,
     )
 
     async def run():
-        job = job_of()
+        job = make_job()
         job.path = routing_state.paths("rooms", shape, 0.0)[0]
         job.route = SimpleNamespace(gap=0.2, objective=0.5)
         job.may_move, job.watched = True, None
