--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -363,7 +363,7 @@
 
     def _on_denied(self, service: str, request: str) -> None:
         """Ask other entries for a retry."""
-        self.loans.want(service, request)
+        self.loans.request_loan(service, request)
 
     def _tell_peers(self) -> None:
         self.peers.exchange_now()
--- a/packages/relay/src/lacewingcourse/relay/retry_loans.py
+++ b/packages/relay/src/lacewingcourse/relay/retry_loans.py
@@ -64,7 +64,7 @@
         """Return what answers other entries."""
         return {("POST", LOAN_PATH): self._on_request}
 
-    def want(self, service: str, request: str) -> None:
+    def request_loan(self, service: str, request: str) -> None:
         """Note a request that lacks a retry."""
         if self.ask_for(1):
             self.budget.want(service, request)
@@ -94,7 +94,7 @@
         answers = await asyncio.gather(
             *(self.fetch(lender.address, LOAN_PATH, message) for lender in lenders)
         )
-        count = sum(self._lent(answer) for answer in answers if answer)
+        count = sum(self._decode_loan(answer) for answer in answers if answer)
         self.budget.borrow(service, count, asked_at)
         self.log.belief(
             "retries_borrowed",
@@ -111,7 +111,7 @@
         drawn = self.rng.sample(names, min(MAX_LENDERS, len(names)))
         return [self.book.peers[name] for name in drawn]
 
-    def _lent(self, answer: bytes) -> int:
+    def _decode_loan(self, answer: bytes) -> int:
         """Return how many retries an answer lends."""
         found = decode(answer, LoanReply)
         if isinstance(found, Undecodable):
--- a/packages/relay/tests/relay/test_retry_loans.py
+++ b/packages/relay/tests/relay/test_retry_loans.py
@@ -53,7 +53,7 @@
     rng: Random
     delay: float = 0.01
     loss: float = 0.0
-    look_again: float = 0.05
+    retry_delay: float = 0.05
     entries: dict[str, RetryLoans] = attrs.field(factory=dict)
     sent: list[float] = attrs.field(factory=list)
 
@@ -95,8 +95,8 @@
         loans, clock = self.entries[name], asyncio.get_running_loop().time
         since = clock()
         while not loans.budget.allows("rooms", clock()):
-            loans.want("rooms", f"{name} {number}")
-            await asyncio.sleep(self.look_again)
+            loans.request_loan("rooms", f"{name} {number}")
+            await asyncio.sleep(self.retry_delay)
         assert loans.budget.take("rooms", clock())
         self.sent.append(clock())
         return clock() - since
@@ -107,7 +107,7 @@
         budget = RetryBudget(0.2, WINDOW, SLACK, started_at=now)
         self.entries[name].budget = budget
 
-    def most_in_a_window(self) -> int:
+    def max_in_a_window(self) -> int:
         """Return the most retries that all entries made in any window."""
         return max(
             sum(at - WINDOW < time <= at for time in self.sent) for at in self.sent
@@ -136,7 +136,7 @@
         waits = await lose_streams(fleet, affected=3, streams=30)
         assert sorted(waits)[len(waits) // 2] <= 0.3
         assert max(waits) <= 1.5
-        assert fleet.most_in_a_window() <= SAFETY_SHARE * SLACK
+        assert fleet.max_in_a_window() <= SAFETY_SHARE * SLACK
 
     play(test())
 
@@ -158,7 +158,7 @@
     """Whatever is late or lost, and however much they need."""
 
     async def test():
-        fleet = Fleet(Random(seed), delay, loss, look_again=0.5)
+        fleet = Fleet(Random(seed), delay, loss, retry_delay=0.5)
         fleet.add(6)
         tasks = [asyncio.ensure_future(e.run()) for e in fleet.entries.values()]
         names = [fleet.rng.choice(sorted(fleet.entries)) for _ in range(400)]
@@ -169,7 +169,7 @@
         await asyncio.sleep(4 * WINDOW)
         for task in tasks + waits:
             task.cancel()
-        assert fleet.most_in_a_window() <= SAFETY_SHARE * SLACK
+        assert fleet.max_in_a_window() <= SAFETY_SHARE * SLACK
         assert len(fleet.sent) > SAFETY_SHARE * SLACK
 
     play(test())
@@ -195,7 +195,7 @@
     """All of them within one window, with streams waiting for retries all the while."""
 
     async def test():
-        fleet = Fleet(Random(seed), delay=0.1, loss=0.1, look_again=0.2)
+        fleet = Fleet(Random(seed), delay=0.1, loss=0.1, retry_delay=0.2)
         fleet.add(6)
         tasks = [asyncio.ensure_future(e.run()) for e in fleet.entries.values()]
         waits = [
@@ -211,7 +211,7 @@
         await asyncio.sleep(3 * WINDOW)
         for task in tasks + waits:
             task.cancel()
-        assert fleet.most_in_a_window() <= SLACK
+        assert fleet.max_in_a_window() <= SLACK
 
     play(test())
 
