--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -265,7 +265,7 @@
             self.metrics.unreadable_messages.inc,
             lambda: self.readiness.leaving,
         )
-        send_limits.on_want = self.permits.check
+        send_limits.on_want = self.permits.schedule_check
         send_limits.on_fall = self._tell_peers
         self.house = Housekeeping(
             self.routing_state,
--- a/packages/relay/src/lacewingcourse/relay/limit_permits.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_permits.py
@@ -34,7 +34,7 @@
 PERMITS_PATH = "/peer/permits"
 #: Seconds after which an entry is asked again that gave no answer, or that takes
 #: another one for the issuer.
-UNANSWERED_RETRY = 0.2
+UNANSWERED_RETRY_DELAY = 0.2
 #: Seconds between two rounds of questions at the least.
 MIN_INTERVAL = 0.005
 
@@ -66,14 +66,14 @@
     log: DecisionLog
     on_unreadable: Callable[[], None]
     is_leaving: Callable[[], bool] = lambda: False
-    asking: set[str] = attrs.field(factory=set)
+    pending: set[str] = attrs.field(factory=set)
     wake: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def handlers(self) -> dict:
         """Return what answers other entries."""
         return {("POST", PERMITS_PATH): self._on_request}
 
-    def check(self) -> None:
+    def schedule_check(self) -> None:
         """Note that a permit may be lacking."""
         self.wake.set()
 
@@ -83,43 +83,43 @@
             await self.wake.wait()
             self.wake.clear()
             for endpoint in list(self.limits.table.members):
-                self._check(endpoint)
+                self._request_if_lacking(endpoint)
             await asyncio.sleep(MIN_INTERVAL)
 
-    def _check(self, endpoint: str) -> None:
+    def _request_if_lacking(self, endpoint: str) -> None:
         """Ask for permits of an endpoint if any are lacking."""
         sharing = self.limits.sharing
-        if endpoint in self.asking or not isinstance(sharing, PermitSharing):
+        if endpoint in self.pending or not isinstance(sharing, PermitSharing):
             return
         now = self.clock()
-        asked = self._issuer_of(endpoint, now)
+        issuer_name = self._issuer_of(endpoint, now)
         rate = self.limits.table.rate(endpoint, now)
-        demand = sharing.demand(self.book.name, endpoint, asked, rate, now)
+        demand = sharing.demand(self.book.name, endpoint, issuer_name, rate, now)
         if demand is None:
             return
-        if asked == self.book.name:
+        if issuer_name == self.book.name:
             is_alone = len(self.book.alive(now)) == 1
             grant = self.issuer.grant(endpoint, demand, rate, now, own=not is_alone)
-            self._take(endpoint, demand, grant, asked, now)
+            self._apply_grant(endpoint, demand, grant, issuer_name, now)
             return
-        self.asking.add(endpoint)
-        asyncio.ensure_future(self._request_permits(endpoint, demand, asked))
+        self.pending.add(endpoint)
+        asyncio.ensure_future(self._request_permits(endpoint, demand, issuer_name))
 
     async def _request_permits(
-        self, endpoint: str, demand: PermitDemand, asked: str
+        self, endpoint: str, demand: PermitDemand, issuer_name: str
     ) -> None:
         """Ask another entry for permits of an endpoint."""
         try:
             asked_at = self.clock()
-            message = encode(self._request(endpoint, demand, asked_at))
-            address = self.book.peers[asked].address
+            message = encode(self._make_request(endpoint, demand, asked_at))
+            address = self.book.peers[issuer_name].address
             answer = await self.fetch(address, PERMITS_PATH, message)
-            grant = self._granted(answer)
-            self._take(endpoint, demand, grant, asked, asked_at)
+            grant = self._decode_grant(answer)
+            self._apply_grant(endpoint, demand, grant, issuer_name, asked_at)
         finally:
-            self.asking.discard(endpoint)
+            self.pending.discard(endpoint)
 
-    def _request(
+    def _make_request(
         self, endpoint: str, demand: PermitDemand, now: float
     ) -> PermitRequest:
         """Return the message that asks for permits of an endpoint."""
@@ -135,36 +135,36 @@
             age=round(age, 3),
         )
 
-    def _granted(self, answer: bytes | None) -> Grant:
+    def _decode_grant(self, answer: bytes | None) -> Grant:
         """Return what an answer gives, nothing if there is none."""
         found = decode(answer, PermitReply) if answer else None
         if isinstance(found, Undecodable):
             self.on_unreadable()
             found = None
         if found is None:
-            return Grant("", (), UNANSWERED_RETRY)
+            return Grant("", (), UNANSWERED_RETRY_DELAY)
         delays = tuple(max(0.0, delay) for delay in found.delays)
         return Grant(found.issuer, delays, max(0.0, found.retry_in))
 
-    def _take(
+    def _apply_grant(
         self,
         endpoint: str,
         demand: PermitDemand,
         grant: Grant,
-        asked: str,
+        issuer_name: str,
         asked_at: float,
     ) -> None:
         """Take what was given, and tell of it."""
         now, draw = self.clock(), self.rng.random()
         sharing = self.limits.sharing
-        sharing.take(endpoint, grant, asked, asked_at, now, draw)
+        sharing.take(endpoint, grant, issuer_name, asked_at, now, draw)
         self.log.belief(
             "permits",
             endpoint=endpoint,
             wanted=demand.count,
             given=len(grant.delays),
             issuer=grant.issuer or None,
-            asked=asked,
+            asked=issuer_name,
             earlier=len(demand.ages),
             retry_in_ms=round(grant.retry_in * 1000, 1),
         )
@@ -174,9 +174,9 @@
         if isinstance(found, Undecodable):
             self.on_unreadable()
             return Reply(400)
-        return Reply(200, encode(self._reply(found, self.clock())))
+        return Reply(200, encode(self._reply_to(found, self.clock())))
 
-    def _reply(self, found: PermitRequest, now: float) -> PermitReply:
+    def _reply_to(self, found: PermitRequest, now: float) -> PermitReply:
         """Return what another entry is given.
 
         One that does not take itself for the issuer gives nothing: of two entries that
@@ -184,7 +184,7 @@
         """
         endpoint, table = found.endpoint, self.limits.table
         if self._issuer_of(endpoint, now) != self.book.name:
-            return PermitReply("", [], UNANSWERED_RETRY)
+            return PermitReply("", [], UNANSWERED_RETRY_DELAY)
         named, before = decode_limit(found.named), table.named(endpoint)
         if table.from_peer(endpoint, named, found.age, now):
             self.log.limit(endpoint, named, before, found.entry)
--- a/packages/relay/tests/relay/test_limit_permits.py
+++ b/packages/relay/tests/relay/test_limit_permits.py
@@ -58,7 +58,7 @@
             Decisions(),
             self.count_unreadable,
         )
-        limits.on_want = exchange.check
+        limits.on_want = exchange.schedule_check
         return exchange
 
     def count_unreadable(self) -> None:
@@ -98,7 +98,7 @@
     play(test())
 
 
-def test_an_issuer_that_does_not_answer_is_not_pressed():
+def test_an_issuer_that_does_not_answer_is_asked_again_after_a_delay():
     async def test():
         entries = Entries()
         entries.answers = False
@@ -108,7 +108,7 @@
     play(test())
 
 
-def test_an_issuer_learns_of_a_limit_from_who_asks():
+def test_an_issuer_takes_a_limit_from_a_permit_request():
     async def test():
         entries = Entries()
         await entries.wait_for_permit(OTHER, 2.0, 1.0)
@@ -131,12 +131,12 @@
     play(test())
 
 
-def test_what_cannot_be_read_gives_no_permit():
+def test_an_unreadable_message_gives_no_permit():
     async def test():
         entries = Entries()
         exchange = entries.exchanges[ISSUER]
         assert exchange._on_request(ServerRequest(PERMITS_PATH, b"{}")).status == 400
-        assert exchange._granted(b"[]").delays == ()
+        assert exchange._decode_grant(b"[]").delays == ()
         assert entries.unreadable == 2
 
     play(test())
