--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -130,7 +130,7 @@
             self.clock,
             self.budget,
             send_limits,
-            limits.take,
+            limits.observe,
         )
         zone = self.settings.zone
         calls = CallForwarder(
--- a/packages/relay/src/lacewingcourse/relay/limit_reader.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_reader.py
@@ -34,7 +34,7 @@
     clock: Callable[[], float]
     on_unreadable: Callable[[], None] = lambda: None
 
-    def take(self, sending: Sending, head: AnswerHead, sent_at: float) -> None:
+    def observe(self, sending: Sending, head: AnswerHead, sent_at: float) -> None:
         """Take the limit that the head of an answer names, or that it names none.
 
         Only an answer of the endpoint itself tells that it names none: a rejection
--- a/packages/relay/tests/relay/test_limit_reader.py
+++ b/packages/relay/tests/relay/test_limit_reader.py
@@ -22,7 +22,7 @@
         belief=lambda event, **fields: lines.append((event, fields["endpoint"])),
     )
     made = LimitReader(LimitTable(), log, lambda: 2.0)
-    return SimpleNamespace(take=made.take, limits=made.limits, lines=lines)
+    return SimpleNamespace(observe=made.observe, limits=made.limits, lines=lines)
 
 
 def answer(limit, standing=Standing.ANSWERED):
@@ -32,10 +32,10 @@
 SENDING = SimpleNamespace(incarnation="a@1")
 
 
-def test_a_limit_is_told_when_it_changes(reader):
+def test_a_limit_is_logged_when_it_changes(reader):
     for limit in (2.0, 2.0, 1.0):
-        reader.take(SENDING, answer(limit), 1.0)
-    reader.take(SENDING, answer(NO_LIMIT), 2.5)
+        reader.observe(SENDING, answer(limit), 1.0)
+    reader.observe(SENDING, answer(NO_LIMIT), 2.5)
     assert reader.lines == [
         ("limit", "a@1", 2.0, NO_LIMIT, "answer"),
         ("limit", "a@1", 1.0, 2.0, "answer"),
@@ -45,18 +45,18 @@
 
 @pytest.mark.parametrize("standing", [Standing.REJECTED, Standing.BROKEN])
 def test_only_an_answer_of_the_endpoint_ends_its_limit(reader, standing):
-    reader.take(SENDING, answer(2.0, standing), 1.0)
-    reader.take(SENDING, answer(NO_LIMIT, standing), 2.5)
+    reader.observe(SENDING, answer(2.0, standing), 1.0)
+    reader.observe(SENDING, answer(NO_LIMIT, standing), 2.5)
     assert reader.limits.named("a@1") == 2.0
 
 
 def test_the_answer_to_another_request_names_nothing(reader):
-    reader.take(SENDING, answer(2.0, Standing.FOREIGN), 1.0)
+    reader.observe(SENDING, answer(2.0, Standing.FOREIGN), 1.0)
     assert reader.limits.members == {}
 
 
-def test_a_limit_that_cannot_be_read_leaves_what_was_known(reader):
-    reader.take(SENDING, answer(2.0), 1.0)
-    reader.take(SENDING, answer(Undecodable("no decimal number")), 2.5)
+def test_an_unreadable_limit_keeps_the_last_one(reader):
+    reader.observe(SENDING, answer(2.0), 1.0)
+    reader.observe(SENDING, answer(Undecodable("no decimal number")), 2.5)
     assert reader.limits.named("a@1") == 2.0
     assert reader.lines[-1] == ("limit_unreadable", "a@1")
