--- a/packages/relay/src/lacewingcourse/relay/housekeeping.py
+++ b/packages/relay/src/lacewingcourse/relay/housekeeping.py
@@ -21,7 +21,7 @@
 #: Seconds between two rounds.
 PERIOD = 0.25
 #: Seconds that this process must have been frozen for to doubt what it knows.
-FREEZE = 0.5
+FREEZE_THRESHOLD = 0.5
 
 
 @attrs.define
@@ -48,16 +48,16 @@
 
     async def run(self) -> None:
         """Keep house for ever."""
-        asleep = seconds_asleep(self.clock())
+        suspended = suspend_time(self.clock())
         while True:
             now = self.clock()
-            slept, asleep = seconds_asleep(now) - asleep, seconds_asleep(now)
-            if slept > FREEZE:
-                self.on_thaw(slept)
-            self.forget(now)
+            frozen_for, suspended = suspend_time(now) - suspended, suspend_time(now)
+            if frozen_for > FREEZE_THRESHOLD:
+                self.on_thaw(frozen_for)
+            self.expire(now)
             await asyncio.sleep(PERIOD)
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Forget what is over, and count the entries that share the budget."""
         self.pool.expire(now)
         for peer in self.routing_state.loads.expire(now):
@@ -72,7 +72,7 @@
         self.budget.known = 1 + len(self.book.peers)
 
 
-def seconds_asleep(now: float) -> float:
+def suspend_time(now: float) -> float:
     """Return the seconds that the loop's clock did not count, up to a constant.
 
     The loop's clock stands still while the machine is suspended; this one does not.
--- a/packages/relay/tests/relay/test_housekeeping.py
+++ b/packages/relay/tests/relay/test_housekeeping.py
@@ -12,15 +12,15 @@
 from lacewingcourse.core.pipelines.speed import ESTIMATE_KEPT
 from lacewingcourse.relay import housekeeping
 from lacewingcourse.relay.connections import ConnectionPool
-from lacewingcourse.relay.housekeeping import FREEZE, Housekeeping
+from lacewingcourse.relay.housekeeping import FREEZE_THRESHOLD, Housekeeping
 from lacewingcourse.relay.routing_state import RoutingState
 
 
 @pytest.fixture
-def make_house():
+def make_housekeeper():
     """Return a function that makes the housekeeping of an entry."""
 
-    def make(on_thaw=lambda slept: None):
+    def make(on_thaw=lambda frozen_for: None):
         budget = RetryBudget(0.2, 10.0, 200.0)
         book = PeerBook("a")
         pool = ConnectionPool()
@@ -32,49 +32,51 @@
     return make
 
 
-def test_what_is_over_is_forgotten(make_house):
-    house = make_house()
-    house.routing_state.speeds.tell("e", 5.0, now=0.0)
-    house.routing_state.links.from_peer("b", {("east", "west"): 0.3})
-    house.routing_state.loads.from_peer("b", {}, now=0.0)
-    house.forget(ESTIMATE_KEPT + 1.0)
-    assert house.routing_state.speeds.members == {}
-    assert house.routing_state.loads.peers == {}
-    assert house.routing_state.links.peers == {}
+def test_expired_state_is_removed(make_housekeeper):
+    housekeeper = make_housekeeper()
+    housekeeper.routing_state.speeds.tell("e", 5.0, now=0.0)
+    housekeeper.routing_state.links.from_peer("b", {("east", "west"): 0.3})
+    housekeeper.routing_state.loads.from_peer("b", {}, now=0.0)
+    housekeeper.expire(ESTIMATE_KEPT + 1.0)
+    assert housekeeper.routing_state.speeds.members == {}
+    assert housekeeper.routing_state.loads.peers == {}
+    assert housekeeper.routing_state.links.peers == {}
 
 
-def test_the_budget_is_shared_by_the_most_entries_that_were_alive(make_house):
-    house = make_house()
+def test_the_budget_is_shared_by_the_most_entries_that_were_alive(make_housekeeper):
+    housekeeper = make_housekeeper()
     for name in "bc":
-        house.book.hear(name, f"{name}:1", False, 0.0)
-    house.forget(0.1)
-    house.forget(100.0)
-    assert house.budget.entries == 3
+        housekeeper.book.hear(name, f"{name}:1", False, 0.0)
+    housekeeper.expire(0.1)
+    housekeeper.expire(100.0)
+    assert housekeeper.budget.entries == 3
 
 
 def test_entries_that_end_or_are_not_heard_yet_keep_their_shares_of_the_budget(
-    make_house,
+    make_housekeeper,
 ):
-    house = make_house()
-    house.book.hear("b", "b:1", True, 0.0)
-    house.book.learn("c", "c:1", 0.0)
-    house.forget(0.1)
-    assert (house.budget.known, house.budget.entries) == (3, 1)
-    house.book.expire(100.0)
-    house.forget(100.0)
-    assert house.budget.known == 1
-
-
-@pytest.mark.parametrize(("slept", "told"), [(FREEZE / 2, 0), (FREEZE + 1.0, 1)])
-def test_a_freeze_is_told(make_house, monkeypatch, slept, told):
+    housekeeper = make_housekeeper()
+    housekeeper.book.hear("b", "b:1", True, 0.0)
+    housekeeper.book.learn("c", "c:1", 0.0)
+    housekeeper.expire(0.1)
+    assert (housekeeper.budget.known, housekeeper.budget.entries) == (3, 1)
+    housekeeper.book.expire(100.0)
+    housekeeper.expire(100.0)
+    assert housekeeper.budget.known == 1
+
+
+@pytest.mark.parametrize(
+    ("frozen_for", "reports"), [(FREEZE_THRESHOLD / 2, 0), (FREEZE_THRESHOLD + 1.0, 1)]
+)
+def test_a_freeze_is_reported(make_housekeeper, monkeypatch, frozen_for, reports):
     freezes = []
-    times = iter([5.0, 5.0 + slept, 5.0 + slept])
-    monkeypatch.setattr(housekeeping, "seconds_asleep", lambda now: next(times))
+    times = iter([5.0, 5.0 + frozen_for, 5.0 + frozen_for])
+    monkeypatch.setattr(housekeeping, "suspend_time", lambda now: next(times))
 
     async def run():
-        task = asyncio.ensure_future(make_house(freezes.append).run())
+        task = asyncio.ensure_future(make_housekeeper(freezes.append).run())
         await asyncio.sleep(0)
         task.cancel()
 
     asyncio.run(run())
-    assert len(freezes) == told
+    assert len(freezes) == reports
