--- a/packages/relay/src/lacewingcourse/relay/routing_state.py
+++ b/packages/relay/src/lacewingcourse/relay/routing_state.py
@@ -1,4 +1,4 @@
-"""What this entry believes of configuration, endpoints and loads."""
+"""State that routing decisions read: configuration, endpoints and loads."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
     from lacewingcourse.core.pipelines.shape import EngineShape
 
 
-#: Figures of a service's engines for which paths are kept. Requests go on by those of
-#: the version that they came under, beside others of a newer one.
+#: Engine shapes of a service for which candidate paths are cached. Requests keep the
+#: shape of the version under which they arrived, beside others of a newer version.
 CACHED_SHAPES = 2
 
 
 @attrs.frozen
 class CandidateSet:
-    """Candidate paths of a service, and what they were worked out from.
+    """Candidate paths of a service, with the inputs of their computation.
 
     Attributes:
         revision: Revision of the fleet.
-        excluded: Endpoints that were left out.
-        shape: Figures of the engines.
+        excluded: Ids of the endpoints that were excluded.
+        shape: Shape of the engines.
         paths: The paths.
     """
 
@@ -49,22 +49,22 @@
 
 @attrs.define
 class RoutingState:
-    """Everything that decisions about requests are made from.
+    """Everything that decisions about requests depend on.
 
     Attributes:
-        table: Configuration in force, None before there is one.
-        fleet: Endpoints.
-        loads: What runs where.
-        links: How busy the links between zones are.
-        suspects: Endpoints that are left out for now.
+        table: Configuration in force, None before the first version.
+        fleet: Known endpoints.
+        loads: Requests and memory in use on each endpoint.
+        links: Utilisation of the links between availability zones.
+        suspects: Endpoints that are excluded for a while after a failure.
         speeds: Endpoints that run slower than published.
         crashes: Requests that crash endpoints.
         send_limits: What may be sent to endpoints that name limits.
-        candidates: Candidate paths by service, for the figures used last.
-        durations: How long answers took lately.
-        watch: Notes what holds up the loop.
-        choosers: What chooses among them by model, for the figures used last, each with
-            the revision of the fleet that it was made for.
+        candidates: Candidate paths by service, for the shapes used last.
+        durations: How long recent answers took.
+        watch: Measures the sections of work that block the event loop.
+        choosers: Path choosers by model for the shapes used last, each with the
+            revision of the fleet for which it was made.
     """
 
     table: RoutingTable | None = None
@@ -86,27 +86,27 @@
         return self.send_limits.table
 
     def accept(self, table: RoutingTable) -> bool:
-        """Put a version in force unless a newer one is; tell whether it was."""
+        """Put a version in force if it is newer; return whether it was put in force."""
         if not is_newer(table, self.table):
             return False
         self.table = table
         return True
 
     def shape(self, service: str) -> EngineShape | None:
-        """Return the figures of a service's engines, None for a plain service."""
+        """Return the shape of a service's engines, None for a plain service."""
         if self.table is None or service not in self.table.services:
             return None
         return self.table.services[service].shape
 
     def is_configured(self, endpoint: Endpoint) -> bool:
-        """Tell whether the configuration knows an endpoint's service."""
+        """Return whether the configuration contains an endpoint's service."""
         return self.table is not None and endpoint.service in self.table.services
 
     def members(self, service: str) -> list[Endpoint]:
         """Return the endpoints of a service that take new work.
 
-        One whose entry does not fit the published figures of the service's engines
-        names no endpoint to use.
+        Endpoints whose directory entry does not fit the published shape of the
+        service's engines are left out.
         """
         found = self.fleet.of_service(service)
         shape = self.shape(service)
@@ -115,12 +115,12 @@
         return [endpoint for endpoint in found if endpoint.fits(shape)]
 
     def usable(self, service: str, now: float) -> list[Endpoint]:
-        """Return the endpoints of a service that are not left out."""
+        """Return the endpoints of a service that are not excluded."""
         excluded = self.suspects.excluded(now)
         return [e for e in self.members(service) if e.id not in excluded]
 
     def paths(self, service: str, shape: EngineShape, now: float) -> list[Path]:
-        """Return the candidate paths of a service."""
+        """Return the candidate paths of a service, cached until its inputs change."""
         excluded = frozenset(self.suspects.excluded(now))
         revision = self.fleet.revision
         known = [
@@ -135,14 +135,14 @@
             paths = candidate_paths(self.usable(service, now), shape)
         kept = [CandidateSet(revision, excluded, shape, paths), *known]
         self.candidates[service] = kept[:CACHED_SHAPES]
-        # They keep the figures of the paths that these replace.
+        # The choosers cache figures of the paths that are replaced here.
         self.choosers.pop(shape.model, None)
         return paths
 
     def chooser(self, shape: EngineShape) -> PathChooser:
-        """Return what chooses among paths of engines with some figures.
+        """Return the path chooser for an engine shape.
 
-        It is kept for as long as no endpoint changes, with the figures of its paths.
+        A chooser is cached with the figures of its paths until an endpoint changes.
         """
         revision = self.fleet.revision
         known = [c for c in self.choosers.get(shape.model, ()) if c[0] == revision]
--- a/packages/relay/tests/relay/test_routing_state.py
+++ b/packages/relay/tests/relay/test_routing_state.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry keeps of what it believes."""
+"""Tests of the caches of the routing state."""
 
 from __future__ import annotations
 
@@ -23,7 +23,11 @@
 
 
 def test_figures_of_paths_that_were_replaced_are_forgotten(routing_state, shape):
-    """Endpoints are suspected again and again while the fleet stays the same."""
+    """The chooser drops the figures of replaced paths while the fleet stays the same.
+
+    Each suspicion of an endpoint replaces the candidate paths, so a chooser that kept
+    all figures would grow without bound.
+    """
     rng = random.Random(1)
     for turn in range(50):
         now = 100.0 * turn
