--- a/packages/relay/src/lacewingcourse/relay/small_server.py
+++ b/packages/relay/src/lacewingcourse/relay/small_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server for questions with short answers."""
+"""A small HTTP server for requests with short responses."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 @attrs.frozen
 class Reply:
-    """The answer to a question.
+    """The response to a request.
 
     Attributes:
         status: HTTP status.
         body: Its body.
-        content_type: Type of the body.
+        content_type: Media type of the body.
         encoding: Content coding of the body, empty for none.
     """
 
@@ -51,10 +51,10 @@
 
 
 class SmallServer(HTTPServerConnectionDelegate):
-    """Answers questions by method and path.
+    """Dispatches requests to handlers by method and path.
 
     Attributes:
-        handlers: What answers, by method and path.
+        handlers: Request handlers by method and path.
     """
 
     def __init__(
@@ -65,12 +65,12 @@
     def start_request(
         self, server_conn: object, request_conn: HTTP1Connection
     ) -> HTTPMessageDelegate:
-        """Return what answers the next question of a connection."""
+        """Return the delegate that answers the next request of a connection."""
         return _RequestHandler(self.handlers, request_conn)
 
 
 class _RequestHandler(HTTPMessageDelegate):
-    """Takes one question and answers it."""
+    """Receives one request and writes its response."""
 
     def __init__(
         self,
