--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -1,4 +1,4 @@
-"""What entries tell one another, put together and taken in."""
+"""Gossip between entries: composes messages and applies received ones."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
     from lacewingcourse.relay.readiness import Readiness
     from lacewingcourse.relay.routing_state import RoutingState
 
-#: Key under which the loads of all others are kept that a hub told.
+#: Key of the sum of the loads of all other entries, as a hub sends it to a member.
 OTHERS_KEY = "others"
-#: What suspicions and losses reach whom, by what the loads beside them cover.
+#: Reach of the suspicions and losses in a message, by the scope of its loads.
 REACH_OF_SCOPE = {
     Scope.OWN: Reach.OWN,
     Scope.ZONE: Reach.ZONE,
@@ -40,28 +40,28 @@
 
 @attrs.define
 class Gossip:
-    """Composes the news of this entry, and learns from those of others.
+    """Composes the messages of this entry and applies those of others.
 
-    Among a few entries each tells what it did itself. Among many, hubs add up what the
-    entries of their availability zone told, and tell each of these what all others
-    did.
+    In a small deployment each entry sends its own loads to all others. In a large one,
+    hubs add up the loads of the entries in their availability zone, and send each of
+    these entries the loads of all others.
 
     Attributes:
         name: Name of this entry.
-        address: Its address for entries.
+        address: Its address for other entries.
         book: The other entries.
-        routing_state: What this entry believes.
-        configuration: Follows the configuration.
-        directory: Follows the directory.
-        holder: Who has the duty of placing.
+        routing_state: State that messages are composed from and applied to.
+        configuration: Follower of the configuration.
+        directory: Follower of the directory.
+        holder: What this entry knows of the holder of the placement duty.
         readiness: Whether this entry is ending.
-        log: Log of decisions.
+        log: Decision log.
         clock: Returns the present time in seconds.
-        ends_in: Returns the seconds until this entry expects to have ended, None if it
-            is not ending.
-        boot_clock: Returns the present time in seconds, counting those for which the
-            machine was suspended.
-        stamps: When the news of others were composed.
+        ends_in: Returns the seconds until this entry is expected to have ended, None if
+            it is not ending.
+        boot_clock: Returns the present time in seconds, including the time for which
+            the machine was suspended.
+        stamps: Time stamps of received messages, to bound their transit times.
     """
 
     name: str
@@ -92,11 +92,11 @@
         return self.configuration.reachable and self.directory.reachable
 
     def message_for(self, receiver: str, zone: str) -> GossipMessage:
-        """Return what this entry tells another one.
+        """Compose the message for another entry.
 
         Args:
-            receiver: Its name, empty if it is unknown.
-            zone: Its availability zone, empty if it is unknown.
+            receiver: Its name, empty if unknown.
+            zone: Its availability zone, empty if unknown.
         """
         now, boot_now = self.clock(), self.boot_clock()
         scope = self.scope_for(receiver, zone, now)
@@ -142,17 +142,17 @@
         )
 
     def transit_time(self, message: GossipMessage) -> float:
-        """Return the seconds that have passed since news were composed, at the most.
+        """Return an upper bound of the seconds since a message was composed.
 
         Returns:
-            Infinity if that is not known.
+            Infinity if the message carries no usable echo.
         """
         now = self.boot_clock()
         composed_at = self.stamps.composed_at(message.echo, now)
         return float("inf") if composed_at is None else now - composed_at
 
     def scope_for(self, receiver: str, zone: str, now: float) -> Scope:
-        """Return whose loads another entry is told."""
+        """Return whose loads a message to another entry contains."""
         if self.book.role(now) is not Role.HUB:
             return Scope.OWN
         if zone != self.book.zone:
@@ -161,7 +161,7 @@
         return Scope.OWN if is_hub else Scope.OTHERS
 
     def receive(self, message: GossipMessage) -> None:
-        """Learn from another entry."""
+        """Apply a message of another entry."""
         now = self.clock()
         self.stamps.receive(message.name, message.stamp, self.boot_clock())
         was_alive = message.name in self.book.alive(now)
@@ -176,7 +176,7 @@
         )
         if not was_alive and not message.leaving:
             self.log.belief("peer_heard", peer=message.name, address=message.address)
-        # The first word of an entry has no echo, and must not be missed.
+        # The first message of an entry has no echo and is applied all the same.
         transit = self.transit_time(message)
         transit = transit if isfinite(transit) else 0.0
         for name, (address, zone, age) in message.peers.items():
@@ -197,7 +197,7 @@
         self.holder.hear(message.holder, message.fencing, holder_age, message.released)
 
     def _apply_limits(self, message: GossipMessage, now: float, transit: float) -> None:
-        """Take which limits endpoints named to others."""
+        """Apply the limits that endpoints named to other entries."""
         limits = self.routing_state.limits
         for endpoint, (encoded, age) in message.limits.items():
             named, before = decode_limit(encoded), limits.named(endpoint)
@@ -205,7 +205,7 @@
                 self.log.limit(endpoint, named, before, message.name)
 
     def _apply_counts(self, message: GossipMessage, now: float) -> None:
-        """Take how many entries other zones have."""
+        """Apply the numbers of entries in other availability zones."""
         counts = {
             zone: n for zone, n in message.counts.items() if zone != self.book.zone
         }
@@ -215,7 +215,7 @@
             self.book.counts.update(counts)
 
     def _apply_loads(self, message: GossipMessage, now: float) -> None:
-        """Take what others run, unless it is known already in another sum."""
+        """Apply the loads of other entries unless another sum contains them."""
         role = self.book.role(now)
         loads, links = self.routing_state.loads, self.routing_state.links
         uses = {(first, second): use for first, second, use in message.links}
@@ -232,7 +232,7 @@
             links.from_peer(key, uses)
 
     def _load_key(self, message: GossipMessage, role: Role) -> str:
-        """Return under which key loads are kept, empty for those in another sum."""
+        """Return the key to store loads under, empty if another sum contains them."""
         if role is Role.EQUAL:
             return message.name if message.scope is Scope.OWN else ""
         same_zone = message.zone == self.book.zone
@@ -253,7 +253,7 @@
         self.routing_state.links.forget(key)
 
     def _load_filter(self, scope: Scope, receiver: str) -> Callable[[str], bool]:
-        """Return which loads of others a message tells besides this entry's own."""
+        """Return which loads of others a message includes besides this entry's own."""
         if scope is Scope.OWN:
             return lambda key: False
         if scope is Scope.ZONE:
@@ -261,11 +261,11 @@
         return lambda key: key != receiver
 
     def _is_zone_entry(self, key: str) -> bool:
-        """Tell whether loads under a key are those of an entry of this zone."""
+        """Return whether a key stands for the loads of one entry of this zone."""
         return key in self.book.peers
 
     def _zone_counts(self, scope: Scope, now: float) -> dict[str, int]:
-        """Return how many entries zones have, for those who do not hear them."""
+        """Return the numbers of live entries by zone, for entries outside of them."""
         if self.book.role(now) is Role.MEMBER:
             return {}
         counts: dict[str, int] = defaultdict(int)
--- a/packages/relay/src/lacewingcourse/relay/peer_messages.py
+++ b/packages/relay/src/lacewingcourse/relay/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries."""
+"""Messages that entries exchange."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 class Scope(Enum):
-    """Whose loads a message tells: its sender's, its zone's, all but its reader's."""
+    """Whose loads a message contains.
+
+    Those of its sender, of the sender's zone, or of all but its receiver.
+    """
 
     OWN = "own"
     ZONE = "zone"
@@ -26,40 +29,42 @@
 
 @attrs.frozen
 class GossipMessage:
-    """What an entry tells another one, several times a second.
+    """State that an entry sends to another one, several times a second.
 
     Attributes:
         name: Name of the sender.
         zone: Its availability zone.
-        address: Its address for entries.
+        address: Its address for other entries.
         leaving: Whether it is ending.
-        version: Version of its configuration, 0 before there is one.
-        version_age: Seconds since it was known to be the newest.
-        position: How far it knows the directory.
-        position_age: Seconds since that was known to be all.
-        scope: Whose loads and uses of links are told.
-        loads: Requests, requests led, and tokens times layers, by endpoint.
-        links: Shares of the time of links between zones, as pairs of zones and share.
-        suspects: Seconds for which each endpoint is left out.
-        crashes: Seconds since the loss of endpoints under requests, by fingerprint
+        version: Version of its configuration, 0 before the first one.
+        version_age: Seconds since that version was known to be the newest.
+        position: Position up to which it has read the directory.
+        position_age: Seconds since that position was known to be the last one.
+        scope: Whose loads and link uses the message contains.
+        loads: Number of requests, number of those of which the endpoint is the first
+            part, and tokens times layers that they take, by endpoint.
+        links: Shares of the time for which links between availability zones are in use,
+            each as two zones and the share.
+        suspects: Seconds for which each endpoint stays excluded.
+        crashes: Seconds since the loss of endpoints that ran a request, by fingerprint
             and endpoint.
-        peers: Address, availability zone and seconds since it was heard of each entry
-            that the reader needs to know, by name.
-        counts: Entries alive in availability zones.
-        holder: Holder of the duty of placing, empty if unknown.
+        peers: Address, availability zone and seconds since the last message of each
+            entry that the receiver needs to know, by name.
+        counts: Number of live entries by availability zone.
+        holder: Holder of the placement duty, empty if unknown.
         fencing: Fencing number of that holder.
-        holder_age: Seconds since anybody heard that holder.
-        released: Fencing number of the last holder that gave the duty back.
-        silent: Those among the endpoints left out that do not answer at all.
-        speeds: Times that the steps of endpoints take as long as published, and the
-            seconds for which that is believed.
-        ends_in: Seconds until the sender expects to have ended, None if it is not
+        holder_age: Seconds since any entry received a message of that holder.
+        released: Fencing number of the last holder that released the duty.
+        silent: Excluded endpoints that do not answer at all.
+        speeds: Ratio of the step time of an endpoint to the published one, and seconds
+            for which that ratio is used.
+        ends_in: Seconds until the sender is expected to have ended, None if it is not
             ending.
         limits: Requests a second that endpoints named, None for no limit, and seconds
-            since they did.
+            since then.
         reads: Whether the platform answers the sender.
-        stamp: Time of the sender's clock, seconds.
-        echo: Time of the reader's clock that the reader sent, None before it did.
+        stamp: Time of the sender's clock at composition, seconds.
+        echo: Last stamp that the sender received from the receiver, None before that.
     """
 
     name: str
@@ -95,10 +100,10 @@
     """The endpoints that an entry knows.
 
     Attributes:
-        position: How far it knows the directory.
-        age: Seconds since that was known to be all.
+        position: Position up to which the entry has read the directory.
+        age: Seconds since that position was known to be the last one.
         endpoints: The endpoints.
-        lapsed: Seconds for which each of those is kept whose entry is gone.
+        lapsed: Seconds for which endpoints are kept whose directory entry is gone.
     """
 
     position: int
@@ -109,12 +114,12 @@
 
 @attrs.frozen
 class LoanRequest:
-    """What an entry asks another one for whose retries are used up.
+    """A request to borrow retries from another entry.
 
     Attributes:
-        service: Service for whose requests they are.
-        count: Retries that it lacks.
-        entries: Entries that share the budget, as far as it knows.
+        service: Service whose requests need the retries.
+        count: Retries that the sender lacks.
+        entries: Number of entries that share the budget, as far as the sender knows.
     """
 
     service: str
@@ -124,10 +129,10 @@
 
 @attrs.frozen
 class LoanReply:
-    """What an entry lends.
+    """The answer to a loan request.
 
     Attributes:
-        count: Retries that it does not use itself.
+        count: Retries that are lent.
     """
 
     count: int
@@ -135,15 +140,16 @@
 
 @attrs.frozen
 class PermitRequest:
-    """What an entry asks the one that gives out an endpoint's permits.
+    """A request for permits, to the entry that issues those of an endpoint.
 
     Attributes:
-        entry: Name of the entry that asks.
+        entry: Name of the sender.
         endpoint: Id of the endpoint.
-        count: Permits that it lacks.
-        ages: Seconds since its sends to the endpoint that the issuer may not know.
+        count: Permits that the sender lacks.
+        ages: Seconds since those of its sends to the endpoint that the issuer may not
+            know.
         named: Requests a second that the endpoint named, None for no limit.
-        age: Seconds since it did.
+        age: Seconds since the endpoint named it.
     """
 
     entry: str
@@ -156,12 +162,13 @@
 
 @attrs.frozen
 class PermitReply:
-    """What the issuer of permits gives.
+    """The answer to a permit request.
 
     Attributes:
-        issuer: Who counts them, empty if the entry does not take itself for it.
+        issuer: Process that counts the permits, empty if the entry that was asked is
+            not the issuer by its own view.
         delays: Seconds until each permit may be used.
-        retry_in: Seconds after which it is worth asking again.
+        retry_in: Seconds after which to ask again.
     """
 
     issuer: str
@@ -169,7 +176,7 @@
     retry_in: float
 
 
-#: What entries send one another.
+#: Any message between entries.
 PeerMessage = (
     GossipMessage
     | FleetSnapshot
@@ -181,17 +188,17 @@
 
 
 def encode_limit(limit: float) -> float | None:
-    """Return a limit as messages tell it."""
+    """Return a limit as messages encode it, None for no limit."""
     return None if limit == NO_LIMIT else limit
 
 
 def decode_limit(value: float | None) -> float:
-    """Return the limit that a message tells."""
+    """Return the limit that a message encodes."""
     return NO_LIMIT if value is None else max(0.0, value)
 
 
 def decode_loads(news: GossipMessage) -> dict[str, Load]:
-    """Return the loads that a message tells."""
+    """Return the loads of a message by endpoint."""
     return {
         endpoint: Load(requests, leading, cells)
         for endpoint, (requests, leading, cells) in news.loads.items()
@@ -204,5 +211,5 @@
 
 
 def decode(body: bytes, kind: type) -> PeerMessage | Undecodable:
-    """Return the message of a kind that a body holds, or what is wrong with it."""
+    """Return the message of a class that a body holds, or why it cannot be decoded."""
     return DECODER.decode(body, kind)
--- a/packages/relay/src/lacewingcourse/relay/peers.py
+++ b/packages/relay/src/lacewingcourse/relay/peers.py
@@ -1,4 +1,4 @@
-"""Speaking with other entries: loads, suspicions, configuration and endpoints."""
+"""Exchanges with other entries over HTTP: gossip, configuration and endpoints."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
     from lacewingcourse.relay.gossip import Gossip
     from lacewingcourse.relay.ports import PeerRegistry
 
-#: Seconds between two rounds. Loads that are older mislead: in a round an entry of
-#: today's deployments begins two requests.
+#: Seconds between two rounds of gossip. Older loads lead to wrong choices: in a round
+#: an entry of today's deployments starts two requests.
 GOSSIP_PERIOD = 0.2
-#: Seconds in which another entry must answer. Well above a round trip and below what
-#: makes an entry look silent.
+#: Seconds in which another entry must answer: well above a round trip, and below the
+#: time after which an entry counts as silent.
 TIMEOUT = 0.6
-#: Seconds after which the same is fetched from a further entry.
+#: Seconds after which the same document is also requested from a further entry.
 HEDGE_DELAY = 0.1
-#: Seconds between two looks at the registry while no other entry is heard.
+#: Seconds between two reads of the registry while no other entry is alive.
 REGISTRY_PERIOD = 2.0
-#: Exchanges with other entries that may be under way at once.
+#: Maximum number of concurrent requests to other entries.
 MAX_EXCHANGES = 24
-#: Level of compression of a version: the quickest. Routes are alike, so that higher
-#: levels save little more.
+#: gzip level for a version, the fastest one: routes are alike, so that higher levels
+#: save little more.
 COMPRESSION_LEVEL = 1
-#: Path of news.
+#: Path of gossip messages.
 GOSSIP_PATH = "/peer/news"
 #: Path of the configuration.
 CONFIGURATION_PATH = "/peer/configuration"
@@ -52,11 +52,11 @@
 
 @attrs.frozen
 class CompressedVersion:
-    """A version of the configuration as other entries get it.
+    """A version of the configuration, compressed for other entries.
 
     Attributes:
         version: Its number.
-        body: Its document, compressed.
+        body: Its document, compressed with gzip.
     """
 
     version: int
@@ -65,20 +65,20 @@
 
 @attrs.define
 class PeerExchange:
-    """Tells other entries what this one knows, and learns from them.
+    """Exchanges gossip, configuration and endpoints with other entries.
 
     Attributes:
-        gossip: What is told and learned.
-        seeds: Addresses of entries that may be asked before any is known.
-        registry: Where entries leave their addresses.
+        gossip: Composes messages and applies received ones.
+        seeds: Addresses that are contacted until their entries are known.
+        registry: Registry of the addresses of entries.
         clock: Returns the present time in seconds.
-        on_unreadable: Called for each message that cannot be read.
+        on_unreadable: Called for each message that cannot be decoded.
         client: HTTP client.
-        fetching: Addresses of entries with which an exchange is under way.
-        fetches: When fetches that are under way began, by what is fetched and the
-            address of the entry.
-        wake: Set when something must be told at once.
-        packed: The version that was asked for last, compressed, None before it.
+        active_exchanges: Addresses of entries with an exchange in progress.
+        active_fetches: Start times of the fetches in progress, by resource and address
+            of the entry.
+        wake: Set when a change must be sent at once.
+        compressed: The version that was requested last, None before the first request.
     """
 
     gossip: Gossip
@@ -102,7 +102,7 @@
         return self.gossip.book
 
     def handlers(self) -> dict:
-        """Return what answers other entries."""
+        """Return the handlers of requests of other entries, by method and path."""
         return {
             ("POST", GOSSIP_PATH): self._on_gossip,
             ("GET", CONFIGURATION_PATH): self._on_configuration,
@@ -110,7 +110,7 @@
         }
 
     async def run(self) -> None:
-        """Speak to other entries for ever."""
+        """Run rounds of gossip until cancelled."""
         while True:
             now = self.clock()
             self.book.expire(now)
@@ -127,9 +127,10 @@
                 pass
 
     async def keep_registered(self) -> None:
-        """Leave this entry's address, and look for others while none is heard.
+        """Register this entry's address, and look for others while none is alive.
 
-        Seeds may be stale, and an entry that hears nobody would take every duty.
+        Seeds may be stale, and an entry that knows of no live one would take over every
+        duty.
         """
         announced = False
         while True:
@@ -151,18 +152,18 @@
             self.book.learn(name, address, now)
 
     def exchange_now(self) -> None:
-        """Tell the others at once, since something changed that binds them."""
+        """Start a round at once, after a change that other entries must know."""
         self.wake.set()
 
     def _try_seeds(self) -> None:
-        """Ask the seeds whose entries are not known yet."""
+        """Contact the seeds whose entries are not known yet."""
         known = {peer.address for peer in self.book.peers.values()}
         for seed in self.seeds:
             if seed != self.gossip.address and seed not in known:
                 self._start_exchange(seed)
 
     def _start_exchange(self, address: str, name: str = "", zone: str = "") -> None:
-        """Begin an exchange unless one with the same entry is under way."""
+        """Start an exchange with an entry unless one is in progress."""
         if address not in self.active_exchanges:
             self.active_exchanges.add(address)
             message = encode(self.gossip.message_for(name, zone))
@@ -180,7 +181,7 @@
     async def fetch(
         self, address: str, path: str, body: bytes | None = None
     ) -> bytes | None:
-        """Return an entry's answer, None if there is none."""
+        """Return the body of an entry's response, None without a successful one."""
         request = HTTPRequest(
             f"http://{address}{path}",
             method="GET" if body is None else "POST",
@@ -195,7 +196,7 @@
         return response.body if response.code == 200 else None
 
     def receive(self, message: GossipMessage) -> None:
-        """Learn from another entry, and fetch what it knows better."""
+        """Apply a message of another entry, and fetch what is newer there."""
         with self.gossip.routing_state.watch.section("news of a peer"):
             self.gossip.receive(message)
         transit_time = self.gossip.transit_time(message)
@@ -214,7 +215,7 @@
             self._start_fetch("configuration", message, self._fetch_configuration)
 
     def _compare_fleet(self, message: GossipMessage, transit_time: float) -> None:
-        """Take over what another entry has read of the directory after this one."""
+        """Fetch the endpoints of an entry that has read further, or confirm the own."""
         if message.position > (self.gossip.directory.position or 0):
             self._start_fetch("fleet", message, self._fetch_fleet)
         elif message.position == self.gossip.directory.position:
@@ -224,9 +225,10 @@
             self.gossip.routing_state.fleet.confirm(self.clock() - age)
 
     def _start_fetch(self, resource: str, message: GossipMessage, fetch) -> None:
-        """Fetch from an entry unless another fetch of the same has just begun.
+        """Fetch from an entry unless another fetch of the resource has just started.
 
-        One from an entry that has stopped holds up the others for a moment only.
+        No fetch starts while one from the same entry is in progress. One from an entry
+        that has stopped delays the others by `HEDGE_DELAY` only.
         """
         now = self.clock()
         under_way = self.active_fetches.setdefault(resource, {})
@@ -262,7 +264,7 @@
             self.gossip.directory.from_peer(found, message.name, transit_time)
 
     def _decode(self, body: bytes | None, kind: type, origin: str):
-        """Return the message that a body holds, None if there is none."""
+        """Return the message in a body, None if it is empty or cannot be decoded."""
         if not body:
             return None
         found = decode(body, kind)
@@ -285,8 +287,8 @@
         table = self.gossip.routing_state.table
         if table is None:
             return Reply(404)
-        # Other entries ask together, and their links are small: a version in full holds
-        # up the events of every stream on both sides.
+        # Entries request a new version at the same time over narrow links. An
+        # uncompressed one delays the events of every stream on both sides.
         if self.compressed is None or self.compressed.version != table.version:
             body = gzip.compress(table.document, COMPRESSION_LEVEL)
             self.compressed = CompressedVersion(table.version, body)
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of what entries learn from one another, in small and large deployments."""
+"""Tests of the gossip between entries, in small and large deployments."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @pytest.fixture
 def large():
-    """A deployment of 28 entries in three zones that has found itself."""
+    """A deployment of 28 entries in three zones after its discovery of all entries."""
     network = Network({"a": 10, "b": 9, "c": 9})
     network.rounds(15)
     return network
 
 
 def give_loads(network: Network) -> None:
-    """Let each entry run one request on one endpoint."""
+    """Start one request of each entry on one endpoint."""
     for entry in network.entries.values():
         entry.routing_state.loads.begin_call("x")
 
@@ -93,7 +93,7 @@
 
 
 def unreachable_follower(follower: SimpleNamespace) -> SimpleNamespace:
-    """Return what follows a platform that does not answer."""
+    """Return a follower of a platform that does not answer."""
     return SimpleNamespace(**vars(follower) | {"reachable": False})
 
 
@@ -180,7 +180,7 @@
 
 
 def test_exchanges_of_an_entry_do_not_grow_with_the_deployment():
-    """With 24 zones a round has about as many exchanges as there are entries."""
+    """With 24 zones a round has fewer than five exchanges for each entry."""
     network = Network({f"z{number:02}": 5 for number in range(24)})
     network.rounds(25)
     before = network.exchanges
--- a/packages/relay/tests/relay/test_message_age.py
+++ b/packages/relay/tests/relay/test_message_age.py
@@ -1,4 +1,4 @@
-"""Tests of how old an entry takes to be what another one tells."""
+"""Tests of the age that an entry derives for the content of a received message."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 from .network import Network
 
-#: Name of the entry that tells, and of the one that is told.
+#: Names of the entry that sends and of the one that receives.
 SENDER, RECEIVER = "a-00", "a-01"
 VERSION = SimpleNamespace(version=7)
 
 
 @pytest.fixture
 def network():
-    """Return two entries that have the same version and have not spoken."""
+    """Return two entries that have the same version and have exchanged no message."""
     network = Network({"a": 2})
     for entry in network.entries.values():
         entry.routing_state.table = VERSION
-        # A follower of its own for each: all of a network share one.
+        # Each entry needs a follower of its own.
         entry.configuration = entry.directory = SimpleNamespace(
             freshness=Freshness(1.0, 0.1), position=None, reachable=True
         )
@@ -32,14 +32,14 @@
 
 
 def deliver(network: Network, message: GossipMessage) -> None:
-    """Let the second entry get news of the first one."""
+    """Deliver a message of the first entry to the second one."""
     receiver = network.entries[RECEIVER]
     exchange = PeerExchange(receiver, (), None, network.clock, lambda: None)
     exchange.receive(decode(encode(message), GossipMessage))
 
 
 def age(network: Network) -> float:
-    """Return how old the second entry takes its version to be."""
+    """Return the age of the second entry's version, in seconds."""
     return network.entries[RECEIVER].configuration.freshness.age(network.clock())
 
 
--- a/packages/relay/tests/relay/test_peers.py
+++ b/packages/relay/tests/relay/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of what entries get from one another over a connection."""
+"""Tests of the exchanges between entries over a connection."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 def make_exchange(document: bytes) -> PeerExchange:
-    """Return what speaks with other entries where a version is in force."""
+    """Return the exchange of an entry that has a version in force."""
     table = SimpleNamespace(version=7, document=document)
     gossip = SimpleNamespace(routing_state=SimpleNamespace(table=table))
     return PeerExchange(gossip, (), None, lambda: 0.0, lambda: None)
 
 
 def test_a_version_is_sent_compressed():
-    """A version filled the link of a small entry, and events came late behind it."""
+    """An uncompressed version filled the link of a small entry and delayed events."""
 
     async def fetched():
         peers = make_exchange(DOCUMENT)
@@ -53,7 +53,7 @@
 
 
 def test_a_version_is_fetched_elsewhere_when_an_entry_has_stopped():
-    """A fetch from an entry that stood still held up the version for its timeout."""
+    """A fetch from a stopped entry delayed the version by the whole timeout."""
 
     async def fetched():
         loop = asyncio.get_running_loop()
