--- a/packages/relay/src/lacewingcourse/relay/followers.py
+++ b/packages/relay/src/lacewingcourse/relay/followers.py
@@ -1,4 +1,4 @@
-"""Following the platform: configuration and directory of endpoints."""
+"""Followers of the platform: of the configuration and of the directory of endpoints."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
     )
     from lacewingcourse.relay.routing_state import RoutingState
 
-#: Seconds between two reads of the directory at the most. The directory changes all
-#: the time, so that reads that waited for a change would follow one another at once.
+#: Maximum number of seconds between two reads of the directory. It changes all the
+#: time, so reads that waited for a change would follow one another at once.
 DIRECTORY_PERIOD = 0.5
-#: Seconds between two looks at whether this entry has to read.
+#: Seconds between two checks whether this entry has to read.
 CHECK_PERIOD = 0.05
-#: Origin of what this entry read itself, as log lines show it.
+#: Origin in log lines of what this entry read from the store itself.
 STORE_ORIGIN = "store"
-#: Endpoints that a line about those of another entry shows; a longer line may be cut by
-#: the pipe that takes it.
+#: Endpoints shown in the log line about those received from another entry. The pipe
+#: that takes the line may cut a longer one.
 MAX_LOGGED_ENDPOINTS = 128
-#: Unreadable entries that are remembered, so that each is told once. A listing holds
+#: Unreadable entries that are remembered, so that each is logged once. A listing holds
 #: one record for each key, and the store's records of 400 MB bound their number.
 MAX_REMEMBERED_UNREADABLE = 256
 
@@ -52,20 +52,20 @@
     """Keeps the newest accepted configuration in force.
 
     Attributes:
-        source: Where it comes from.
-        routing_state: Where it is put in force.
-        log: Log of decisions.
+        source: Source of the configuration.
+        routing_state: State that holds the version in force.
+        log: Decision log.
         clock: Returns the present time in seconds.
-        rank: Returns how many live entries come before this one.
+        rank: Returns the number of live entries that read before this one.
         on_change: Called after another version was put in force.
-        budget: How long each step on the way to all entries may take.
-        freshness: How old the knowledge is.
-        reachable: Whether the source answered last.
-        in_step: Whether what is in force is what this entry read last, so that a read
-            may go on from there.
+        budget: How long each step of the propagation to all entries may take.
+        freshness: Age of the configuration, and when to read it.
+        reachable: Whether the source answered the last read.
+        in_sync: Whether the version in force is the one that this entry read last, so
+            that the next read may continue from there.
         unreadable: Whether the newest version that was read cannot be decoded.
-        draw: Returns a number from 0 to 1 that spreads the entries.
-        on_read: Called with what each read brought.
+        jitter: Returns a number from 0 to 1 that spreads the retries of entries.
+        on_read: Called with the result of each read.
     """
 
     source: ConfigurationSource
@@ -87,7 +87,7 @@
         return self.budget.freshness()
 
     async def run(self) -> None:
-        """Follow the source for ever."""
+        """Follow the source until cancelled."""
         while True:
             if self.freshness.due(self.rank(), self.clock()):
                 await self.read()
@@ -95,7 +95,7 @@
                 await asyncio.sleep(CHECK_PERIOD)
 
     async def read(self) -> None:
-        """Read once, waiting for a change if the newest version is known."""
+        """Read once; wait for a change if the newest version is known."""
         sent_at = self.clock()
         if self.in_sync:
             found = await self.source.next(self.budget.wait)
@@ -122,7 +122,7 @@
             self.apply(found.table, STORE_ORIGIN)
 
     def apply(self, table: RoutingTable, origin: str) -> None:
-        """Put a version in force unless a newer one is."""
+        """Put a version in force if it is newer than the present one."""
         if not self.routing_state.accept(table):
             return
         self.in_sync = origin == STORE_ORIGIN
@@ -136,7 +136,7 @@
         self.on_change()
 
     def _log_read(self, found: ConfigurationNews, took: float, age: float) -> None:
-        """Count a read that was answered, and tell of one that brought something."""
+        """Count an answered read, and log it if it returned records."""
         self.on_read(_read_result(found))
         if not found.records:
             return
@@ -149,7 +149,7 @@
         )
 
     def log_unreadable(self, found: Undecodable, origin: str) -> None:
-        """Tell of a version that cannot be read; what is in force stays."""
+        """Log a version that cannot be decoded; the one in force stays."""
         self.log.belief("configuration_unreadable", reason=found.reason, origin=origin)
 
     def _note_unavailable(self, found: Unavailable) -> None:
@@ -164,7 +164,7 @@
 
 
 def _read_result(found: ConfigurationNews) -> str:
-    """Return what a read of the configuration brought, for the metrics."""
+    """Return the result of a read of the configuration for the metrics."""
     if found.behind:
         return "behind"
     if isinstance(found.table, Undecodable):
@@ -174,26 +174,27 @@
 
 @attrs.define
 class DirectoryFollower:
-    """Keeps what is believed of the endpoints up to date.
+    """Keeps the known endpoints up to date.
 
     Attributes:
-        directory: Where they are listed.
-        routing_state: Where they are kept.
-        log: Log of decisions.
+        directory: Directory that lists the endpoints.
+        routing_state: State that holds the endpoints.
+        log: Decision log.
         clock: Returns the present time in seconds.
-        boot_clock: Returns the present time in seconds, counting those for which the
-            machine was suspended; `freshness` goes by it.
-        rank: Returns how many live entries come before this one.
-        on_change: Called after something changed that other entries must know.
-        on_restart: Called with the id of an incarnation that a later one ended.
-        on_unreadable: Called for each entry that names no endpoint to use.
-        budget: How long each step on the way to all entries may take.
-        position: How far the directory was read, None before a whole listing.
-        freshness: How old the knowledge is.
-        reachable: Whether the directory answered last.
+        boot_clock: Returns the present time in seconds, including the time for which
+            the machine was suspended; `freshness` uses it.
+        rank: Returns the number of live entries that read before this one.
+        on_change: Called after a change that other entries must know.
+        on_restart: Called with the id of an incarnation that a later one replaced.
+        on_unreadable: Called for each entry that describes no usable endpoint.
+        budget: How long each step of the propagation to all entries may take.
+        position: Position up to which the directory was read, None before a whole
+            listing.
+        freshness: Age of the known endpoints, and when to read the directory.
+        reachable: Whether the directory answered the last read.
         logged_unreadable: Unreadable entries that were logged, oldest first.
-        watch: Notes what holds up the loop.
-        draw: Returns a number from 0 to 1 that spreads the entries.
+        watch: Measures the sections of work that block the event loop.
+        jitter: Returns a number from 0 to 1 that spreads the retries of entries.
     """
 
     directory: EndpointDirectory
@@ -223,11 +224,11 @@
 
     @property
     def period(self) -> float:
-        """Seconds between two reads, less what a look at it may be late."""
+        """Seconds between two reads, less the time by which a check may be late."""
         return min(DIRECTORY_PERIOD, self.budget.wait) - CHECK_PERIOD
 
     async def run(self) -> None:
-        """Follow the directory for ever."""
+        """Follow the directory until cancelled."""
         while True:
             if self.freshness.due(self.rank(), self.boot_clock()):
                 await self.poll()
@@ -236,7 +237,7 @@
             await asyncio.sleep(CHECK_PERIOD)
 
     async def poll(self) -> None:
-        """Read once what changed."""
+        """Read the changes once."""
         sent_at, boot_sent_at = self.clock(), self.boot_clock()
         update = await self.directory.poll(self.position)
         now, boot_now = self.clock(), self.boot_clock()
@@ -260,12 +261,12 @@
     def from_peer(
         self, snapshot: FleetSnapshot, peer: str, transit_time: float
     ) -> None:
-        """Take the endpoints that another entry knows, if it has read further.
+        """Apply the endpoints of another entry if it has read further.
 
         Args:
-            snapshot: What it told.
+            snapshot: Its endpoints.
             peer: Its name.
-            time_on_way: Seconds since it was asked.
+            transit_time: Seconds since they were requested.
         """
         if self.position is not None and snapshot.position <= self.position:
             return
@@ -292,13 +293,13 @@
     def apply(
         self, update: DirectoryNews, now: float, log_changes: bool = True
     ) -> list[Endpoint]:
-        """Take what the directory told; return the endpoints that changed.
+        """Apply an update of the directory; return the endpoints that changed.
 
         Args:
-            update: What it told.
+            update: The update.
             now: Present time in seconds.
-            log_changes: Whether each change gets a line in the log. What came from another
-                entry was told there.
+            log_changes: Whether each change is logged. Changes received from another
+                entry are in the log of that entry.
         """
         fleet = self.routing_state.fleet
         changed: list[Endpoint] = []
@@ -317,7 +318,7 @@
         return changed
 
     def _update_endpoint(self, endpoint: Endpoint, log_changes: bool) -> bool:
-        """Take an entry that names an endpoint; tell whether it changed anything."""
+        """Apply an entry that describes an endpoint; return whether it changed."""
         known = self.routing_state.fleet.named(endpoint.name)
         recognised = self.routing_state.is_configured(endpoint)
         effect = self.routing_state.fleet.put(endpoint, recognised)
@@ -330,7 +331,7 @@
         return changed
 
     def _note_unreadable(self, entry: UnreadableEntry) -> None:
-        """Count an unreadable entry, and tell of it once."""
+        """Count an unreadable entry, and log it once."""
         self.on_unreadable()
         if entry in self.logged_unreadable:
             return
@@ -340,7 +341,7 @@
             del self.logged_unreadable[next(iter(self.logged_unreadable))]
 
     def _log_endpoint(self, endpoint: Endpoint) -> None:
-        """Tell what is believed of an endpoint from now on."""
+        """Log what is known of an endpoint from now on."""
         self.log.belief(
             "endpoint",
             endpoint=endpoint.id,
@@ -353,6 +354,6 @@
 
 
 def _layer_bounds(endpoint: Endpoint) -> list[int] | None:
-    """Return the layers that an endpoint holds as log lines show them."""
+    """Return the bounds of the layers that an endpoint holds, for log lines."""
     layers = endpoint.layers
     return [layers.start, layers.end] if layers else None
--- a/packages/relay/tests/relay/test_configuration_follower.py
+++ b/packages/relay/tests/relay/test_configuration_follower.py
@@ -1,4 +1,4 @@
-"""Tests of which versions an entry reads, and what it takes for the newest."""
+"""Tests of which versions a follower reads, and when they are taken for the newest."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 def table(version: int) -> SimpleNamespace:
-    """Return what stands for a version."""
+    """Return a stand-in for a version."""
     return SimpleNamespace(version=version)
 
 
 @attrs.define
 class Source:
-    """A source whose answers a test sets.
+    """A source with answers set by the test.
 
     Attributes:
         now: Present time in seconds.
-        news: What the next read brings.
-        took: Seconds until it does.
-        asked: What it was asked for.
+        news: Answer to the next read.
+        took: Seconds until that answer.
+        calls: Names of the methods called.
     """
 
     now: float = 100.0
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def follower():
-    """Return a follower whose source and clock a test sets."""
+    """Return a follower with a source and a clock set by the test."""
     log = SimpleNamespace(belief=lambda *args, **fields: None)
     source = Source()
     return ConfigurationFollower(
@@ -69,7 +69,7 @@
 def read(
     follower: ConfigurationFollower, news: ConfigurationNews, took: float = 0.0
 ) -> None:
-    """Let a follower read once, which takes some seconds."""
+    """Read once, with an answer that takes some seconds."""
     follower.source.news, follower.source.took = news, took
     asyncio.run(follower.read())
 
--- a/packages/relay/tests/relay/test_version_changes.py
+++ b/packages/relay/tests/relay/test_version_changes.py
@@ -1,4 +1,4 @@
-"""Tests of requests under way when another version of the configuration comes."""
+"""Tests of requests in progress while another version of the configuration arrives."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from lacewingcourse.relay.stall_watcher import PERIOD, SECOND_QUESTION, StallWatcher
 from lacewingcourse.relay.streams import RunResult, StreamEnd, StreamForwarder
 
-#: Turns of the loop between the arrival of an answer and its being read.
+#: Turns of the event loop between the arrival of an answer and its processing.
 READ_TURNS = 3
-#: What a request needs.
+#: Demand of a request.
 DEMAND = Demand(1_000, 200)
 
 
 class NullObject:
-    """Takes any call and does nothing."""
+    """Accepts any call and does nothing."""
 
     def __getattr__(self, name: str):
         return lambda *args, **kwargs: None
@@ -45,7 +45,7 @@
 
 
 def install_version(routing_state, **shapes):
-    """Put a version in force with the figures of some services."""
+    """Put a version in force with the shapes of some services."""
     services = {
         name: SimpleNamespace(name=name, shape=shape) for name, shape in shapes.items()
     }
@@ -53,13 +53,13 @@
 
 
 def other_kinds(shape, *names):
-    """Return figures whose accelerators are of other kinds."""
+    """Return a shape whose accelerators are of other kinds."""
     kinds = {name: Accelerator(name, 150.0, 1.0, 1.0) for name in names}
     return attrs.evolve(shape, accelerators=kinds)
 
 
 def make_job(begun=True):
-    """Return a request of which events may have been passed on."""
+    """Return a request of which events may have been forwarded."""
     return SimpleNamespace(
         service="rooms",
         caller=SimpleNamespace(begun=begun),
@@ -74,7 +74,7 @@
 def test_a_stream_finds_a_path_by_the_figures_that_it_began_with(
     routing_state, shape, kinds
 ):
-    """Another version changes steps and kinds, and the service may be gone."""
+    """A new version changes step times and accelerators, or drops the service."""
     finder = PathFinder(routing_state, Random(1), lambda: 0.0)
     install_version(
         routing_state, rooms=attrs.evolve(other_kinds(shape, *kinds), step_ms=3.0)
@@ -85,12 +85,12 @@
 
 
 def test_candidate_paths_are_cached_for_old_and_new_figures(routing_state, shape):
-    """A version changes figures while requests wait with those they came with.
+    """Requests of an old and a new version use their cached candidate paths in turn.
 
-    Waiting requests and new ones look for paths in turn, and each look throws the
-    other's candidates away and searches anew. A search over a fleet of 117 endpoints
-    holds up the loop, and the more requests wait the more often it does. Candidates
-    are kept for one set of figures of a service only.
+    Waiting requests keep the shape of the version that they arrived under. With a cache
+    for one shape of a service only, they and new requests evict each other's candidates
+    and each look-up searches anew. A search over a fleet of 117 endpoints blocks the
+    event loop, and happens more often the more requests wait.
     """
     newer = attrs.evolve(shape, step_ms=2.0)
     install_version(routing_state, rooms=newer)
@@ -104,11 +104,11 @@
 def test_a_rejection_is_handled_after_a_version_dropped_the_accelerator_kind(
     routing_state, shape, kinds
 ):
-    """A part on a stream's path rejects it after a version has dropped the part's kind.
+    """An endpoint rejects a stream after a version has dropped its kind of accelerator.
 
-    The caller's answer is broken off, or it is told of a defect. How full the part is
-    is worked out from the version in force, whose kinds the part has none of, and the
-    look-up of its kind raises an error.
+    The memory in use of the endpoint was computed from the version in force. The
+    look-up of the missing kind raised an error, and the caller's answer was broken off
+    or ended with an internal error.
     """
     path = routing_state.paths("rooms", shape, 0.0)[0]
     install_version(routing_state, rooms=other_kinds(shape, *kinds))
@@ -124,7 +124,7 @@
 
 
 class BlockedLoop:
-    """Endpoints that answer at once, to a loop that stands still meanwhile."""
+    """Endpoints that answer at once while the event loop is blocked."""
 
     def __init__(self, blocks: bool) -> None:
         self.blocks = blocks
@@ -146,12 +146,12 @@
 def test_a_stream_is_not_moved_because_the_event_loop_was_blocked(
     routing_state, shape, blocks
 ):
-    """The loop stands still for a moment after an endpoint was asked whether it lives.
+    """The event loop is blocked for a moment after an endpoint was asked for a report.
 
-    The endpoint has answered, but its answer is read some turns of the loop after the
-    time for it is over. The streams through it are sent elsewhere, each at the price
-    of a retry, and where none is left the answer is broken off. Decoding a version
-    of a thousand routes, or searching paths once, takes as long as is needed for it.
+    The endpoint has answered, but its answer is processed some turns of the loop after
+    the timeout. The streams through it were moved, each at the cost of a retry, and
+    broken off where none was left. Decoding a version of a thousand routes or a single
+    search for paths blocks the loop for long enough.
     """
     blocked_loop = BlockedLoop(blocks)
     finder = SimpleNamespace(is_idle=lambda job, avoid: True)
