--- a/packages/relay/src/lacewingcourse/relay/retry_loans.py
+++ b/packages/relay/src/lacewingcourse/relay/retry_loans.py
@@ -21,32 +21,32 @@
     from lacewingcourse.core.pipelines.retry_budget import RetryBudget
     from lacewingcourse.relay.decisions import DecisionLog
 
-#: Path under which other entries ask for a loan.
+#: Path of loan requests.
 LOAN_PATH = "/peer/retries"
-#: Entries that are asked at a time.
+#: Number of entries that are asked at a time.
 MAX_LENDERS = 3
-#: Seconds between two rounds of questions, at first and at the most; while nobody has
-#: anything to lend they get further apart.
+#: Shortest and longest time in seconds between two rounds of requests. It doubles while
+#: no entry has anything to lend.
 MIN_INTERVAL = 0.05
 MAX_INTERVAL = 0.8
 
 
 @attrs.define
 class RetryLoans:
-    """Asks other entries for retries that requests here lack, and lends to others.
+    """Borrows the retries that requests lack from other entries, and lends to them.
 
-    Entries share an even part of the budget each, but the streams that a lost endpoint
-    cuts are spread unevenly over them.
+    Entries have even shares of the budget, but the streams that are cut by the loss of
+    an endpoint are spread unevenly over them.
 
     Attributes:
-        budget: The retries of this entry.
+        budget: Retries of this entry.
         book: The other entries.
         fetch: Returns an entry's answer to a message, None if there is none.
         clock: Returns the present time in seconds.
-        rng: Source of draws.
-        log: Log of decisions.
-        on_unreadable: Called for each message that cannot be read.
-        ask_for: Returns how many retries to ask for, from how many are lacking.
+        rng: Source of random numbers.
+        log: Decision log.
+        on_unreadable: Called for each message that cannot be decoded.
+        ask_for: Returns how many retries to ask for, given how many are lacking.
         wake: Set when a request lacks a retry.
     """
 
@@ -61,17 +61,17 @@
     wake: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def handlers(self) -> dict:
-        """Return what answers other entries."""
+        """Return the handlers of requests of other entries, by method and path."""
         return {("POST", LOAN_PATH): self._on_request}
 
     def request_loan(self, service: str, request: str) -> None:
-        """Note a request that lacks a retry."""
+        """Note a request that lacks a retry, and borrow one with the next round."""
         if self.ask_for(1):
             self.budget.want(service, request)
             self.wake.set()
 
     async def run(self) -> None:
-        """Borrow what is wanted, for ever."""
+        """Borrow lacking retries until cancelled."""
         interval = MIN_INTERVAL
         while True:
             await self.wake.wait()
@@ -84,7 +84,7 @@
             await asyncio.sleep(interval)
 
     async def _borrow(self, service: str, wanted: int) -> int:
-        """Ask some entries for retries; return how many were borrowed."""
+        """Ask some entries for retries; return how many were lent."""
         asked_at = self.clock()
         lenders = self._lenders(asked_at)
         if not lenders:
@@ -106,7 +106,7 @@
         return count
 
     def _lenders(self, now: float) -> list[Peer]:
-        """Return some of the entries that are alive."""
+        """Return a random choice of live entries."""
         names = [name for name in self.book.alive(now) if name != self.book.name]
         drawn = self.rng.sample(names, min(MAX_LENDERS, len(names)))
         return [self.book.peers[name] for name in drawn]
@@ -124,8 +124,8 @@
         if isinstance(found, Undecodable):
             self.on_unreadable()
             return Reply(400)
-        # One that has just started knows few of the others yet, and takes its share for
-        # much larger than it is.
+        # An entry that has just started knows few others yet, and would compute too
+        # large a share for itself.
         self.budget.entries = max(self.budget.entries, found.entries)
         lent = self.budget.lend(found.service, found.count, self.clock())
         return Reply(200, encode(LoanReply(lent)))
--- a/packages/relay/tests/relay/test_retry_loans.py
+++ b/packages/relay/tests/relay/test_retry_loans.py
@@ -1,9 +1,9 @@
 """Tests of retries that entries borrow from one another.
 
-Two endpoints were lost under thirty streams of a few entries. Each of thirty-one
-entries had five retries of the 244 that all of them may make, whatever it needed.
-Within 40 ms these entries had used theirs up, and their other streams stood still, some
-until their callers left, while the rest of the budget lay unused at the other entries.
+They guard against a failure after the loss of two endpoints that cut thirty streams of
+a few entries. Each of thirty-one entries had a fixed share of five of the 244 retries
+of all. These entries used theirs up within 40 ms, and their other streams stalled, some
+until their callers left, while the rest of the budget stayed unused.
 """
 
 from __future__ import annotations
@@ -32,7 +32,8 @@
 from .stream_play import Decisions
 from .virtual_time import play
 
-#: Seconds in which retries are counted, and those that are allowed besides a share.
+#: Window of the retry budget in seconds, and its slack: the retries of all entries that
+#: it allows besides a share of their requests.
 WINDOW = 10.0
 SLACK = 244.0
 
@@ -42,11 +43,11 @@
     """Entries that exchange messages with delays and losses.
 
     Attributes:
-        entries: The entries.
+        entries: The entries by name.
         rng: Source of delays and losses.
-        delay: Longest time that a message takes, seconds.
+        delay: Longest delay of a message, seconds.
         loss: Share of the messages and answers that are lost.
-        look_again: Seconds after which a request that lacks a retry looks again.
+        retry_delay: Seconds after which a request that lacks a retry tries again.
         sent: Times of the retries of all entries.
     """
 
@@ -80,7 +81,7 @@
             self.entries[name] = loans
 
     async def fetch(self, address: str, path: str, body: bytes) -> bytes | None:
-        """Carry a message and its answer."""
+        """Deliver a message and its answer."""
         assert path == LOAN_PATH
         await asyncio.sleep(self.rng.uniform(0, self.delay))
         if self.rng.random() < self.loss:
@@ -91,7 +92,7 @@
         return None if self.rng.random() < self.loss else reply.body
 
     async def retry(self, name: str, number: int) -> float:
-        """Send a request again as soon as that is allowed; return the wait."""
+        """Retry a request once the budget allows it; return the wait in seconds."""
         loans, clock = self.entries[name], asyncio.get_running_loop().time
         since = clock()
         while not loans.budget.allows("rooms", clock()):
@@ -102,20 +103,20 @@
         return clock() - since
 
     def restart(self, name: str) -> None:
-        """Let a new process that has heard of nobody take an entry's place."""
+        """Replace an entry by a new process that knows of no other entry."""
         now = asyncio.get_running_loop().time()
         budget = RetryBudget(0.2, WINDOW, SLACK, started_at=now)
         self.entries[name].budget = budget
 
     def max_in_a_window(self) -> int:
-        """Return the most retries that all entries made in any window."""
+        """Return the largest number of retries of all entries in any window."""
         return max(
             sum(at - WINDOW < time <= at for time in self.sent) for at in self.sent
         )
 
 
 async def lose_streams(fleet: Fleet, affected: int, streams: int) -> list[float]:
-    """Return how long the streams of some entries waited for their retries."""
+    """Return the seconds for which streams of some entries waited for retries."""
     tasks = [asyncio.ensure_future(e.run()) for e in fleet.entries.values()]
     names = sorted(fleet.entries)[:affected]
     try:
@@ -155,7 +156,7 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize(("delay", "loss"), [(0.02, 0.0), (0.8, 0.1), (3.0, 0.5)])
 def test_all_entries_together_stay_within_the_budget(seed, delay, loss):
-    """Whatever is late or lost, and however much they need."""
+    """The sum stays bounded whatever is late or lost, and however much entries need."""
 
     async def test():
         fleet = Fleet(Random(seed), delay, loss, retry_delay=0.5)
@@ -176,7 +177,7 @@
 
 
 def test_an_entry_that_has_just_started_lends_no_more_than_its_share():
-    """It knows none of the others yet, and the whole slack seems to be its own."""
+    """A new entry that knows of no others would take the whole slack for its own."""
 
     async def test():
         fleet = Fleet(Random(1))
@@ -192,7 +193,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_entries_that_restart_one_after_the_other_stay_within_the_budget(seed):
-    """All of them within one window, with streams waiting for retries all the while."""
+    """All entries restart within one window while streams wait for retries."""
 
     async def test():
         fleet = Fleet(Random(seed), delay=0.1, loss=0.1, retry_delay=0.2)
