--- a/packages/relay/src/lacewingcourse/relay/limit_permits.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_permits.py
@@ -1,4 +1,4 @@
-"""Permits to send to limited endpoints, asked of other entries and given to them."""
+"""Exchange of permits to send to limited endpoints between entries."""
 
 from __future__ import annotations
 
@@ -30,30 +30,30 @@
     from lacewingcourse.core.pipelines.send_limits import SendLimits
     from lacewingcourse.relay.decisions import DecisionLog
 
-#: Path under which other entries ask for permits.
+#: Path of permit requests.
 PERMITS_PATH = "/peer/permits"
-#: Seconds after which an entry is asked again that gave no answer, or that takes
+#: Seconds after which an entry is asked again that did not answer, or that takes
 #: another one for the issuer.
 UNANSWERED_RETRY_DELAY = 0.2
-#: Seconds between two rounds of questions at the least.
+#: Minimum number of seconds between two rounds of requests.
 MIN_INTERVAL = 0.005
 
 
 @attrs.define
 class PermitExchange:
-    """Asks for the permits that requests here lack, and gives out those of others.
+    """Requests the permits that this entry lacks, and issues permits to other entries.
 
     Attributes:
-        limits: What this entry may send.
-        issuer: What it gives out.
+        limits: Limits of this entry's sends to endpoints.
+        issuer: Issuer of permits to other entries and to this one.
         book: The other entries.
         fetch: Returns an entry's answer to a message, None if there is none.
         clock: Returns the present time in seconds.
-        rng: Source of draws.
-        log: Log of decisions.
-        on_unreadable: Called for each message that cannot be read.
-        is_leaving: Tells whether this entry is ending.
-        asking: Endpoints whose issuer has been asked and has not answered.
+        rng: Source of random numbers.
+        log: Decision log.
+        on_unreadable: Called for each message that cannot be decoded.
+        is_leaving: Returns whether this entry is ending.
+        pending: Endpoints with a permit request that is not answered yet.
         wake: Set when a permit may be lacking.
     """
 
@@ -70,15 +70,15 @@
     wake: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def handlers(self) -> dict:
-        """Return what answers other entries."""
+        """Return the handlers of requests of other entries, by method and path."""
         return {("POST", PERMITS_PATH): self._on_request}
 
     def schedule_check(self) -> None:
-        """Note that a permit may be lacking."""
+        """Check for lacking permits in the next round."""
         self.wake.set()
 
     async def run(self) -> None:
-        """Ask for what is lacking, for ever."""
+        """Request lacking permits until cancelled."""
         while True:
             await self.wake.wait()
             self.wake.clear()
@@ -87,7 +87,7 @@
             await asyncio.sleep(MIN_INTERVAL)
 
     def _request_if_lacking(self, endpoint: str) -> None:
-        """Ask for permits of an endpoint if any are lacking."""
+        """Request permits of an endpoint if any are lacking."""
         sharing = self.limits.sharing
         if endpoint in self.pending or not isinstance(sharing, PermitSharing):
             return
@@ -108,7 +108,7 @@
     async def _request_permits(
         self, endpoint: str, demand: PermitDemand, issuer_name: str
     ) -> None:
-        """Ask another entry for permits of an endpoint."""
+        """Request permits of an endpoint from another entry."""
         try:
             asked_at = self.clock()
             message = encode(self._make_request(endpoint, demand, asked_at))
@@ -122,7 +122,7 @@
     def _make_request(
         self, endpoint: str, demand: PermitDemand, now: float
     ) -> PermitRequest:
-        """Return the message that asks for permits of an endpoint."""
+        """Return the message that requests permits of an endpoint."""
         limit = self.limits.table.members.get(endpoint)
         named = limit.named if limit is not None else NO_LIMIT
         age = now - limit.observed_at if limit is not None else 0.0
@@ -136,7 +136,7 @@
         )
 
     def _decode_grant(self, answer: bytes | None) -> Grant:
-        """Return what an answer gives, nothing if there is none."""
+        """Return the grant in an answer, an empty one if there is none."""
         found = decode(answer, PermitReply) if answer else None
         if isinstance(found, Undecodable):
             self.on_unreadable()
@@ -154,7 +154,7 @@
         issuer_name: str,
         asked_at: float,
     ) -> None:
-        """Take what was given, and tell of it."""
+        """Add granted permits, and log them."""
         now, draw = self.clock(), self.rng.random()
         sharing = self.limits.sharing
         sharing.take(endpoint, grant, issuer_name, asked_at, now, draw)
@@ -177,10 +177,10 @@
         return Reply(200, encode(self._reply_to(found, self.clock())))
 
     def _reply_to(self, found: PermitRequest, now: float) -> PermitReply:
-        """Return what another entry is given.
+        """Return the answer to a permit request of another entry.
 
-        One that does not take itself for the issuer gives nothing: of two entries that
-        gave out permits each would give out all of them.
+        An entry that is not the issuer by its own view grants nothing: two entries that
+        both granted permits would each grant all of them.
         """
         endpoint, table = found.endpoint, self.limits.table
         if self._issuer_of(endpoint, now) != self.book.name:
@@ -194,7 +194,7 @@
         return PermitReply(grant.issuer, list(grant.delays), grant.retry_in)
 
     def _issuer_of(self, endpoint: str, now: float) -> str:
-        """Return the entry that gives out the permits of an endpoint."""
+        """Return the entry that issues the permits of an endpoint."""
         entries = self.book.coordinators(now)
         if self.is_leaving() and len(entries) > 1:
             entries.discard(self.book.name)
--- a/packages/relay/src/lacewingcourse/relay/limit_reader.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_reader.py
@@ -1,4 +1,4 @@
-"""Takes the limits that endpoints name in their answers."""
+"""Reads the limits that endpoints name in their answers."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @attrs.define
 class LimitReader:
-    """Notes and tells what endpoints name.
+    """Stores and logs the limits that endpoints name.
 
     Attributes:
-        limits: What they have named.
-        log: Log of decisions.
+        limits: Limits that endpoints have named.
+        log: Decision log.
         clock: Returns the present time in seconds.
-        on_unreadable: Called for each limit that cannot be read.
+        on_unreadable: Called for each limit that cannot be decoded.
     """
 
     limits: LimitTable
@@ -35,15 +35,15 @@
     on_unreadable: Callable[[], None] = lambda: None
 
     def observe(self, sending: Sending, head: AnswerHead, sent_at: float) -> None:
-        """Take the limit that the head of an answer names, or that it names none.
+        """Store the limit that the head of an answer names, or that it names none.
 
-        Only an answer of the endpoint itself tells that it names none: a rejection
-        may lack the header.
+        Only an answer of the endpoint itself withdraws a limit: a rejection may lack
+        the header.
 
         Args:
-            sending: What it answers.
-            head: The head.
-            sent_at: When that was sent, seconds.
+            sending: The send that is answered.
+            head: Head of the answer.
+            sent_at: Time of the send, seconds.
         """
         named = head.limit
         if head.standing is Standing.FOREIGN:
--- a/packages/relay/tests/relay/test_limit_permits.py
+++ b/packages/relay/tests/relay/test_limit_permits.py
@@ -1,4 +1,4 @@
-"""Tests of permits that entries ask one another for."""
+"""Tests of the permits that entries request from one another."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 class Entries:
-    """Entries that know one another, with messages between them.
+    """Entries that know one another, and the messages between them.
 
     Attributes:
         exchanges: Their exchanges by name.
         answers: Whether messages are answered.
-        asked: Addresses that messages were sent to.
+        asked: Addresses to which messages were sent.
     """
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
         return handler(ServerRequest(path, body)).body
 
     async def wait_for_permit(self, name: str, limit: float, seconds: float) -> bool:
-        """Let an entry want a permit; tell whether it has one after some time."""
+        """Let an entry request a permit; return whether it gets one in time."""
         exchange = self.exchanges[name]
         exchange.limits.table.observe(ENDPOINT, limit, 0.0, 0.0)
         task = asyncio.ensure_future(exchange.run())
--- a/packages/relay/tests/relay/test_limit_reader.py
+++ b/packages/relay/tests/relay/test_limit_reader.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry takes from the limits that endpoints name."""
+"""Tests of the limits that a reader takes from the answers of endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def reader():
-    """Return a reader that keeps the lines of its log, with what it knows."""
+    """Return a reader, the limits that it stores and the lines that it logs."""
     lines = []
     log = SimpleNamespace(
         limit=lambda *fields: lines.append(("limit", *fields)),
