--- a/packages/relay/src/lacewingcourse/relay/housekeeping.py
+++ b/packages/relay/src/lacewingcourse/relay/housekeeping.py
@@ -1,4 +1,4 @@
-"""What an entry does a few times a second: forgetting, and noticing freezes."""
+"""Periodic work of an entry: removes expired state and detects freezes."""
 
 from __future__ import annotations
 
@@ -20,22 +20,23 @@
 
 #: Seconds between two rounds.
 PERIOD = 0.25
-#: Seconds that this process must have been frozen for to doubt what it knows.
+#: Seconds of suspension of the machine from which on knowledge gathered before it is no
+#: longer trusted.
 FREEZE_THRESHOLD = 0.5
 
 
 @attrs.define
 class Housekeeping:
-    """Forgets what is over.
+    """Removes expired state.
 
     Attributes:
-        routing_state: What this entry believes.
+        routing_state: State that routing decisions read.
         pool: Connections to endpoints.
         book: The other entries.
-        budget: Repeats that are left.
-        issuer: Permits that this entry has given out.
+        budget: Retry budget.
+        issuer: Issuer of permits of this entry.
         clock: Returns the present time in seconds.
-        on_thaw: Called with the seconds for which this process was frozen.
+        on_thaw: Called with the seconds for which the machine was suspended.
     """
 
     routing_state: RoutingState
@@ -47,7 +48,7 @@
     on_thaw: Callable[[float], None]
 
     async def run(self) -> None:
-        """Keep house for ever."""
+        """Run rounds until cancelled."""
         suspended = suspend_time(self.clock())
         while True:
             now = self.clock()
@@ -58,7 +59,7 @@
             await asyncio.sleep(PERIOD)
 
     def expire(self, now: float) -> None:
-        """Forget what is over, and count the entries that share the budget."""
+        """Remove expired state, and count the entries that share the budget."""
         self.pool.expire(now)
         for peer in self.routing_state.loads.expire(now):
             self.routing_state.links.forget(peer)
@@ -73,9 +74,10 @@
 
 
 def suspend_time(now: float) -> float:
-    """Return the seconds that the loop's clock did not count, up to a constant.
+    """Return the seconds for which the machine was suspended, plus a constant.
 
-    The loop's clock stands still while the machine is suspended; this one does not.
+    The loop's clock stands still while the machine is suspended; the boot clock does
+    not.
 
     Args:
         now: Present time of the loop's clock in seconds.
--- a/packages/relay/tests/relay/test_housekeeping.py
+++ b/packages/relay/tests/relay/test_housekeeping.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry forgets."""
+"""Tests of the housekeeping of an entry."""
 
 from __future__ import annotations
 
