--- a/packages/relay/src/lacewingcourse/relay/limit_permits.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_permits.py
@@ -176,19 +176,19 @@
             return Reply(400)
         return Reply(200, encode(self._reply_to(found, self.clock())))
 
-    def _reply_to(self, found: PermitRequest, now: float) -> PermitReply:
+    def _reply_to(self, request: PermitRequest, now: float) -> PermitReply:
         """Return the answer to a permit request of another entry.
 
         An entry that is not the issuer by its own view grants nothing: two entries that
         both granted permits would each grant all of them.
         """
-        endpoint, table = found.endpoint, self.limits.table
+        endpoint, table = request.endpoint, self.limits.table
         if self._issuer_of(endpoint, now) != self.book.name:
             return PermitReply("", [], UNANSWERED_RETRY_DELAY)
-        named, before = decode_limit(found.named), table.named(endpoint)
-        if table.from_peer(endpoint, named, found.age, now):
-            self.log.limit(endpoint, named, before, found.entry)
-        demand = PermitDemand(found.entry, found.count, tuple(found.ages))
+        named, before = decode_limit(request.named), table.named(endpoint)
+        if table.from_peer(endpoint, named, request.age, now):
+            self.log.limit(endpoint, named, before, request.entry)
+        demand = PermitDemand(request.entry, request.count, tuple(request.ages))
         rate = table.rate(endpoint, now)
         grant = self.issuer.grant(endpoint, demand, rate, now)
         return PermitReply(grant.issuer, list(grant.delays), grant.retry_in)
--- a/packages/relay/src/lacewingcourse/relay/peer_messages.py
+++ b/packages/relay/src/lacewingcourse/relay/peer_messages.py
@@ -197,11 +197,11 @@
     return NO_LIMIT if value is None else max(0.0, value)
 
 
-def decode_loads(news: GossipMessage) -> dict[str, Load]:
+def decode_loads(message: GossipMessage) -> dict[str, Load]:
     """Return the loads of a message by endpoint."""
     return {
         endpoint: Load(requests, leading, cells)
-        for endpoint, (requests, leading, cells) in news.loads.items()
+        for endpoint, (requests, leading, cells) in message.loads.items()
     }
 
 
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -80,8 +80,8 @@
     network = Network(zones)
     network.rounds(15)
     first, second = "a-00", "a-01" if zones["a"] == 2 else "b-00"
-    cut = network.entries[first]
-    cut.configuration = unreachable_follower(cut.configuration)
+    disconnected = network.entries[first]
+    disconnected.configuration = unreachable_follower(disconnected.configuration)
     network.rounds(3)
     now = network.clock()
     ranks = {
@@ -117,10 +117,10 @@
             now = large.clock()
             entry.routing_state.limits.observe("x", named, now - 0.01, now)
         large.rounds(4)
-        told = {
+        named_limits = {
             entry.routing_state.limits.named("x") for entry in large.entries.values()
         }
-        assert told == {named}
+        assert named_limits == {named}
 
 
 @pytest.mark.parametrize(
--- a/packages/relay/tests/relay/test_limit_permits.py
+++ b/packages/relay/tests/relay/test_limit_permits.py
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         self.answers = True
-        self.asked: list[str] = []
+        self.contacted: list[str] = []
         self.unreadable = 0
         self.exchanges = {name: self.make(name) for name in NAMES}
 
@@ -66,7 +66,7 @@
 
     async def fetch(self, address: str, path: str, body: bytes) -> bytes | None:
         assert path == PERMITS_PATH
-        self.asked.append(address)
+        self.contacted.append(address)
         await asyncio.sleep(0.001)
         if not self.answers:
             return None
@@ -93,7 +93,7 @@
     async def test():
         entries = Entries()
         assert await entries.wait_for_permit(name, 2.0, 1.1)
-        assert set(entries.asked) == ({ISSUER} if name == OTHER else set())
+        assert set(entries.contacted) == ({ISSUER} if name == OTHER else set())
 
     play(test())
 
@@ -103,7 +103,7 @@
         entries = Entries()
         entries.answers = False
         assert not await entries.wait_for_permit(OTHER, 2.0, 1.0)
-        assert len(entries.asked) <= 6
+        assert len(entries.contacted) <= 6
 
     play(test())
 
--- a/packages/relay/tests/relay/test_peers.py
+++ b/packages/relay/tests/relay/test_peers.py
@@ -59,25 +59,25 @@
         loop = asyncio.get_running_loop()
         peers = make_exchange(DOCUMENT)
         peers.clock = loop.time
-        asked = []
+        fetches = []
 
-        async def fetch(news):
-            asked.append((news.address, loop.time()))
-            if news.address == "stopped":
+        async def fetch(message):
+            fetches.append((message.address, loop.time()))
+            if message.address == "stopped":
                 await asyncio.sleep(TIMEOUT)
 
         for _ in range(4):
             for address in ("stopped", "sound"):
-                news = SimpleNamespace(address=address)
-                peers._start_fetch("configuration", news, fetch)
+                message = SimpleNamespace(address=address)
+                peers._start_fetch("configuration", message, fetch)
             await asyncio.sleep(GOSSIP_PERIOD / 2)
         await asyncio.sleep(TIMEOUT)
-        return asked, peers.active_fetches
+        return fetches, peers.active_fetches
 
-    asked, left = play(fetched())
-    addresses = [address for address, _ in asked]
+    fetches, left = play(fetched())
+    addresses = [address for address, _ in fetches]
     assert addresses.count("stopped") == 1
-    assert dict(reversed(asked))["sound"] <= GOSSIP_PERIOD
+    assert dict(reversed(fetches))["sound"] <= GOSSIP_PERIOD
     assert left == {"configuration": {}}
 
 
