--- a/packages/relay/src/lacewingcourse/relay/housekeeping.py
+++ b/packages/relay/src/lacewingcourse/relay/housekeeping.py
@@ -20,8 +20,7 @@
 
 #: Seconds between two rounds.
 PERIOD = 0.25
-#: Seconds of suspension of the machine from which on knowledge gathered before it is no
-#: longer trusted.
+#: Suspension of the machine in seconds above which earlier state counts as stale.
 FREEZE_THRESHOLD = 0.5
 
 
--- a/packages/relay/tests/relay/test_limit_permits.py
+++ b/packages/relay/tests/relay/test_limit_permits.py
@@ -34,7 +34,7 @@
     Attributes:
         exchanges: Their exchanges by name.
         answers: Whether messages are answered.
-        asked: Addresses to which messages were sent.
+        contacted: Addresses to which messages were sent.
     """
 
     def __init__(self) -> None:
