--- a/packages/relay/src/lacewingcourse/relay/followers.py
+++ b/packages/relay/src/lacewingcourse/relay/followers.py
@@ -98,28 +98,28 @@
         """Read once; wait for a change if the newest version is known."""
         sent_at = self.clock()
         if self.in_sync:
-            found = await self.source.next(self.budget.wait)
+            update = await self.source.next(self.budget.wait)
         else:
-            found = await self.source.newest()
+            update = await self.source.newest()
         now = self.clock()
-        if isinstance(found, Unavailable):
+        if isinstance(update, Unavailable):
             self.on_read("unavailable")
             self.freshness.failed(now, self.jitter())
-            self._note_unavailable(found)
+            self._note_unavailable(update)
             return
-        self._log_read(found, now - sent_at, self.freshness.age(now))
+        self._log_read(update, now - sent_at, self.freshness.age(now))
         self._note_available()
-        self.in_sync = not found.behind
-        if found.table is not None:
-            self.unreadable = isinstance(found.table, Undecodable)
+        self.in_sync = not update.behind
+        if update.table is not None:
+            self.unreadable = isinstance(update.table, Undecodable)
         if self.unreadable:
             self.freshness.failed(now, self.jitter())
-        elif not found.behind:
-            self.freshness.succeeded(now, sent_at + found.waited)
-        if isinstance(found.table, Undecodable):
-            self.log_unreadable(found.table, STORE_ORIGIN)
-        elif found.table is not None:
-            self.apply(found.table, STORE_ORIGIN)
+        elif not update.behind:
+            self.freshness.succeeded(now, sent_at + update.waited)
+        if isinstance(update.table, Undecodable):
+            self.log_unreadable(update.table, STORE_ORIGIN)
+        elif update.table is not None:
+            self.apply(update.table, STORE_ORIGIN)
 
     def apply(self, table: RoutingTable, origin: str) -> None:
         """Put a version in force if it is newer than the present one."""
@@ -135,27 +135,27 @@
         )
         self.on_change()
 
-    def _log_read(self, found: ConfigurationNews, took: float, age: float) -> None:
+    def _log_read(self, update: ConfigurationNews, took: float, age: float) -> None:
         """Count an answered read, and log it if it returned records."""
-        self.on_read(_read_result(found))
-        if not found.records:
+        self.on_read(_read_result(update))
+        if not update.records:
             return
         self.log.belief(
             "configuration_read",
-            records=found.records,
-            behind=found.behind,
+            records=update.records,
+            behind=update.behind,
             took_ms=round(took * 1000, 1),
             age_ms=round(age * 1000, 1),
         )
 
-    def log_unreadable(self, found: Undecodable, origin: str) -> None:
+    def log_unreadable(self, error: Undecodable, origin: str) -> None:
         """Log a version that cannot be decoded; the one in force stays."""
-        self.log.belief("configuration_unreadable", reason=found.reason, origin=origin)
+        self.log.belief("configuration_unreadable", reason=error.reason, origin=origin)
 
-    def _note_unavailable(self, found: Unavailable) -> None:
+    def _note_unavailable(self, error: Unavailable) -> None:
         if self.reachable:
             self.reachable = False
-            self.log.belief("configuration_source_lost", reason=found.reason)
+            self.log.belief("configuration_source_lost", reason=error.reason)
 
     def _note_available(self) -> None:
         if not self.reachable:
@@ -163,13 +163,13 @@
             self.log.belief("configuration_source_regained")
 
 
-def _read_result(found: ConfigurationNews) -> str:
+def _read_result(update: ConfigurationNews) -> str:
     """Return the result of a read of the configuration for the metrics."""
-    if found.behind:
+    if update.behind:
         return "behind"
-    if isinstance(found.table, Undecodable):
+    if isinstance(update.table, Undecodable):
         return "unreadable"
-    return "version" if found.table is not None else "nothing"
+    return "version" if update.table is not None else "nothing"
 
 
 @attrs.define
--- a/packages/relay/src/lacewingcourse/relay/limit_permits.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_permits.py
@@ -137,14 +137,14 @@
 
     def _decode_grant(self, answer: bytes | None) -> Grant:
         """Return the grant in an answer, an empty one if there is none."""
-        found = decode(answer, PermitReply) if answer else None
-        if isinstance(found, Undecodable):
+        reply = decode(answer, PermitReply) if answer else None
+        if isinstance(reply, Undecodable):
             self.on_unreadable()
-            found = None
-        if found is None:
+            reply = None
+        if reply is None:
             return Grant("", (), UNANSWERED_RETRY_DELAY)
-        delays = tuple(max(0.0, delay) for delay in found.delays)
-        return Grant(found.issuer, delays, max(0.0, found.retry_in))
+        delays = tuple(max(0.0, delay) for delay in reply.delays)
+        return Grant(reply.issuer, delays, max(0.0, reply.retry_in))
 
     def _apply_grant(
         self,
@@ -170,11 +170,11 @@
         )
 
     def _on_request(self, request: ServerRequest) -> Reply:
-        found = decode(request.body, PermitRequest)
-        if isinstance(found, Undecodable):
+        message = decode(request.body, PermitRequest)
+        if isinstance(message, Undecodable):
             self.on_unreadable()
             return Reply(400)
-        return Reply(200, encode(self._reply_to(found, self.clock())))
+        return Reply(200, encode(self._reply_to(message, self.clock())))
 
     def _reply_to(self, request: PermitRequest, now: float) -> PermitReply:
         """Return the answer to a permit request of another entry.
--- a/packages/relay/src/lacewingcourse/relay/peers.py
+++ b/packages/relay/src/lacewingcourse/relay/peers.py
@@ -144,11 +144,11 @@
             await asyncio.sleep(REGISTRY_PERIOD)
 
     async def _query_registry(self) -> None:
-        found = await self.registry.listed()
-        if isinstance(found, Unavailable):
+        addresses = await self.registry.listed()
+        if isinstance(addresses, Unavailable):
             return
         now = self.clock()
-        for name, address in found.items():
+        for name, address in addresses.items():
             self.book.learn(name, address, now)
 
     def exchange_now(self) -> None:
@@ -172,9 +172,9 @@
     async def _exchange(self, address: str, message: bytes) -> None:
         try:
             body = await self.fetch(address, GOSSIP_PATH, message)
-            found = self._decode(body, GossipMessage, address)
-            if found is not None:
-                self.receive(found)
+            answer = self._decode(body, GossipMessage, address)
+            if answer is not None:
+                self.receive(answer)
         finally:
             self.active_exchanges.discard(address)
 
@@ -231,12 +231,12 @@
         that has stopped delays the others by `HEDGE_DELAY` only.
         """
         now = self.clock()
-        under_way = self.active_fetches.setdefault(resource, {})
-        if message.address in under_way:
+        in_progress = self.active_fetches.setdefault(resource, {})
+        if message.address in in_progress:
             return
-        if any(now - began_at < HEDGE_DELAY for began_at in under_way.values()):
+        if any(now - began_at < HEDGE_DELAY for began_at in in_progress.values()):
             return
-        under_way[message.address] = now
+        in_progress[message.address] = now
         asyncio.ensure_future(self._run_fetch(resource, message, fetch))
 
     async def _run_fetch(self, resource: str, message: GossipMessage, fetch) -> None:
@@ -249,32 +249,32 @@
         body = await self.fetch(message.address, CONFIGURATION_PATH)
         if not body:
             return
-        found = self.gossip.configuration.source.decode(body)
-        if isinstance(found, Undecodable):
-            self.gossip.configuration.log_unreadable(found, message.name)
+        table = self.gossip.configuration.source.decode(body)
+        if isinstance(table, Undecodable):
+            self.gossip.configuration.log_unreadable(table, message.name)
         else:
-            self.gossip.configuration.apply(found, message.name)
+            self.gossip.configuration.apply(table, message.name)
 
     async def _fetch_fleet(self, message: GossipMessage) -> None:
         sent_at = self.gossip.boot_clock()
         body = await self.fetch(message.address, FLEET_PATH)
-        found = self._decode(body, FleetSnapshot, message.address)
-        if found is not None:
+        snapshot = self._decode(body, FleetSnapshot, message.address)
+        if snapshot is not None:
             transit_time = self.gossip.boot_clock() - sent_at
-            self.gossip.directory.from_peer(found, message.name, transit_time)
+            self.gossip.directory.from_peer(snapshot, message.name, transit_time)
 
     def _decode(self, body: bytes | None, kind: type, origin: str):
         """Return the message in a body, None if it is empty or cannot be decoded."""
         if not body:
             return None
-        found = decode(body, kind)
-        if isinstance(found, Undecodable):
+        message = decode(body, kind)
+        if isinstance(message, Undecodable):
             self.on_unreadable()
             self.gossip.log.belief(
-                "message_unreadable", reason=found.reason, origin=origin
+                "message_unreadable", reason=message.reason, origin=origin
             )
             return None
-        return found
+        return message
 
     def _on_gossip(self, request: ServerRequest) -> Reply:
         message = self._decode(request.body, GossipMessage, "a caller")
--- a/packages/relay/src/lacewingcourse/relay/retry_loans.py
+++ b/packages/relay/src/lacewingcourse/relay/retry_loans.py
@@ -113,19 +113,19 @@
 
     def _decode_loan(self, answer: bytes) -> int:
         """Return how many retries an answer lends."""
-        found = decode(answer, LoanReply)
-        if isinstance(found, Undecodable):
+        reply = decode(answer, LoanReply)
+        if isinstance(reply, Undecodable):
             self.on_unreadable()
             return 0
-        return max(0, found.count)
+        return max(0, reply.count)
 
     def _on_request(self, request: ServerRequest) -> Reply:
-        found = decode(request.body, LoanRequest)
-        if isinstance(found, Undecodable):
+        loan = decode(request.body, LoanRequest)
+        if isinstance(loan, Undecodable):
             self.on_unreadable()
             return Reply(400)
         # An entry that has just started knows few others yet, and would compute too
         # large a share for itself.
-        self.budget.entries = max(self.budget.entries, found.entries)
-        lent = self.budget.lend(found.service, found.count, self.clock())
+        self.budget.entries = max(self.budget.entries, loan.entries)
+        lent = self.budget.lend(loan.service, loan.count, self.clock())
         return Reply(200, encode(LoanReply(lent)))
--- a/packages/relay/src/lacewingcourse/relay/routing_state.py
+++ b/packages/relay/src/lacewingcourse/relay/routing_state.py
@@ -108,11 +108,11 @@
         Endpoints whose directory entry does not fit the published shape of the
         service's engines are left out.
         """
-        found = self.fleet.of_service(service)
+        endpoints = self.fleet.of_service(service)
         shape = self.shape(service)
         if shape is None:
-            return found
-        return [endpoint for endpoint in found if endpoint.fits(shape)]
+            return endpoints
+        return [endpoint for endpoint in endpoints if endpoint.fits(shape)]
 
     def usable(self, service: str, now: float) -> list[Endpoint]:
         """Return the endpoints of a service that are not excluded."""
@@ -124,13 +124,13 @@
         excluded = frozenset(self.suspects.excluded(now))
         revision = self.fleet.revision
         known = [
-            found
-            for found in self.candidates.get(service, ())
-            if found.revision == revision and found.excluded == excluded
+            cached
+            for cached in self.candidates.get(service, ())
+            if cached.revision == revision and cached.excluded == excluded
         ]
-        for found in known:
-            if found.shape == shape:
-                return found.paths
+        for cached in known:
+            if cached.shape == shape:
+                return cached.paths
         with self.watch.section("candidate paths"):
             paths = candidate_paths(self.usable(service, now), shape)
         kept = [CandidateSet(revision, excluded, shape, paths), *known]
@@ -150,7 +150,7 @@
             if chooser.shape == shape:
                 return chooser
         endpoints = self.fleet.endpoints
-        found = PathChooser(shape, endpoints, self.loads, self.links, self.speeds)
-        kept = [(revision, found), *known]
+        created = PathChooser(shape, endpoints, self.loads, self.links, self.speeds)
+        kept = [(revision, created), *known]
         self.choosers[shape.model] = kept[:CACHED_SHAPES]
-        return found
+        return created
--- a/packages/relay/tests/relay/test_routing_state.py
+++ b/packages/relay/tests/relay/test_routing_state.py
@@ -14,12 +14,12 @@
 @pytest.fixture
 def routing_state(small, shape):
     """Four endpoints, two for each of two layers."""
-    found = RoutingState()
+    state = RoutingState()
     services = {"rooms": SimpleNamespace(shape=shape)}
-    found.table = SimpleNamespace(services=services)
+    state.table = SimpleNamespace(services=services)
     for name, layer in zip("abcd", (0, 0, 1, 1), strict=True):
-        found.fleet.put(small(name, layer))
-    return found
+        state.fleet.put(small(name, layer))
+    return state
 
 
 def test_figures_of_paths_that_were_replaced_are_forgotten(routing_state, shape):
--- a/packages/relay/tests/relay/test_version_changes.py
+++ b/packages/relay/tests/relay/test_version_changes.py
@@ -37,11 +37,11 @@
 @pytest.fixture
 def routing_state(small, shape):
     """Four endpoints, two for each of two layers."""
-    found = RoutingState()
-    install_version(found, rooms=shape)
+    state = RoutingState()
+    install_version(state, rooms=shape)
     for name, layer in zip("abcd", (0, 0, 1, 1), strict=True):
-        found.fleet.put(small(name, layer))
-    return found
+        state.fleet.put(small(name, layer))
+    return state
 
 
 def install_version(routing_state, **shapes):
