--- a/packages/relay/src/lacewingcourse/relay/housekeeping.py
+++ b/packages/relay/src/lacewingcourse/relay/housekeeping.py
@@ -1,4 +1,4 @@
-"""Periodic work of an entry: removes expired state and detects freezes."""
+"""Periodic work of an entry: removes expired state and detects suspensions."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @attrs.define
 class Housekeeping:
-    """Removes expired state.
+    """Removes expired state, and reports suspensions of the machine.
 
     Attributes:
         routing_state: State that routing decisions read.
