--- a/packages/relay/src/lacewingcourse/relay/followers.py
+++ b/packages/relay/src/lacewingcourse/relay/followers.py
@@ -1,4 +1,4 @@
-"""Following the platform: configuration and directory of endpoints."""
+"""Followers of the platform: of the configuration and of the directory of endpoints."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
     from lacewingcourse.core.pipelines.fleet import Endpoint
     from lacewingcourse.core.pipelines.freshness import Freshness, PropagationBudget
     from lacewingcourse.core.pipelines.routing import RoutingTable
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.decisions import DecisionLog
-    from lacewingcourse.relay.peer_messages import FleetNews
+    from lacewingcourse.relay.peer_messages import FleetSnapshot
     from lacewingcourse.relay.ports import (
         ConfigurationNews,
         ConfigurationSource,
         EndpointDirectory,
     )
+    from lacewingcourse.relay.routing_state import RoutingState
 
-#: Seconds between two reads of the directory at the most. The directory changes all
-#: the time, so that reads that waited for a change would follow one another at once.
+#: Maximum number of seconds between two reads of the directory. It changes all the
+#: time, so reads that waited for a change would follow one another at once.
 DIRECTORY_PERIOD = 0.5
-#: Seconds between two looks at whether this entry has to read.
-LOOK_PERIOD = 0.05
-#: Origin of what this entry read itself, as log lines show it.
-SOURCE = "store"
-#: Endpoints that a line about those of another entry shows; a longer line may be cut by
-#: the pipe that takes it.
-MOST_SHOWN = 128
-#: Unreadable entries that are remembered, so that each is told once. A listing holds
+#: Seconds between two checks whether this entry has to read.
+CHECK_PERIOD = 0.05
+#: Origin in log lines of what this entry read from the store itself.
+STORE_ORIGIN = "store"
+#: Endpoints shown in the log line about those received from another entry. The pipe
+#: that takes the line may cut a longer one.
+MAX_LOGGED_ENDPOINTS = 128
+#: Unreadable entries that are remembered, so that each is logged once. A listing holds
 #: one record for each key, and the store's records of 400 MB bound their number.
-MOST_TOLD = 256
+MAX_REMEMBERED_UNREADABLE = 256
 
 
 @attrs.define
@@ -52,24 +52,24 @@
     """Keeps the newest accepted configuration in force.
 
     Attributes:
-        source: Where it comes from.
-        beliefs: Where it is put in force.
-        log: Log of decisions.
+        source: Source of the configuration.
+        routing_state: State that holds the version in force.
+        log: Decision log.
         clock: Returns the present time in seconds.
-        rank: Returns how many live entries come before this one.
+        rank: Returns the number of live entries that read before this one.
         on_change: Called after another version was put in force.
-        budget: How long each step on the way to all entries may take.
-        freshness: How old the knowledge is.
-        reachable: Whether the source answered last.
-        in_step: Whether what is in force is what this entry read last, so that a read
-            may go on from there.
+        budget: How long each step of the propagation to all entries may take.
+        freshness: Age of the configuration, and when to read it.
+        reachable: Whether the source answered the last read.
+        in_sync: Whether the version in force is the one that this entry read last, so
+            that the next read may continue from there.
         unreadable: Whether the newest version that was read cannot be decoded.
-        draw: Returns a number from 0 to 1 that spreads the entries.
-        on_read: Called with what each read brought.
+        jitter: Returns a number from 0 to 1 that spreads the retries of entries.
+        on_read: Called with the result of each read.
     """
 
     source: ConfigurationSource
-    beliefs: Beliefs
+    routing_state: RoutingState
     log: DecisionLog
     clock: Callable[[], float]
     rank: Callable[[], int]
@@ -77,55 +77,55 @@
     budget: PropagationBudget
     freshness: Freshness = attrs.field()
     reachable: bool = True
-    in_step: bool = False
+    in_sync: bool = False
     unreadable: bool = False
-    draw: Callable[[], float] = lambda: 0.0
+    jitter: Callable[[], float] = lambda: 0.0
     on_read: Callable[[str], None] = lambda result: None
 
     @freshness.default
-    def _unknown_age(self) -> Freshness:
+    def _initial_freshness(self) -> Freshness:
         return self.budget.freshness()
 
     async def run(self) -> None:
-        """Follow the source for ever."""
+        """Follow the source until cancelled."""
         while True:
             if self.freshness.due(self.rank(), self.clock()):
                 await self.read()
             else:
-                await asyncio.sleep(LOOK_PERIOD)
+                await asyncio.sleep(CHECK_PERIOD)
 
     async def read(self) -> None:
-        """Read once, waiting for a change if the newest version is known."""
+        """Read once; wait for a change if the newest version is known."""
         sent_at = self.clock()
-        if self.in_step:
-            found = await self.source.next(self.budget.wait)
+        if self.in_sync:
+            update = await self.source.next(self.budget.wait)
         else:
-            found = await self.source.newest()
+            update = await self.source.newest()
         now = self.clock()
-        if isinstance(found, Unavailable):
+        if isinstance(update, Unavailable):
             self.on_read("unavailable")
-            self.freshness.failed(now, self.draw())
-            self._lost(found)
+            self.freshness.failed(now, self.jitter())
+            self._note_unavailable(update)
             return
-        self._log_read(found, now - sent_at, self.freshness.age(now))
-        self._regained()
-        self.in_step = not found.behind
-        if found.table is not None:
-            self.unreadable = isinstance(found.table, Undecodable)
+        self._log_read(update, now - sent_at, self.freshness.age(now))
+        self._note_available()
+        self.in_sync = not update.behind
+        if update.table is not None:
+            self.unreadable = isinstance(update.table, Undecodable)
         if self.unreadable:
-            self.freshness.failed(now, self.draw())
-        elif not found.behind:
-            self.freshness.succeeded(now, sent_at + found.waited)
-        if isinstance(found.table, Undecodable):
-            self.refuse(found.table, SOURCE)
-        elif found.table is not None:
-            self.take(found.table, SOURCE)
-
-    def take(self, table: RoutingTable, origin: str) -> None:
-        """Put a version in force unless a newer one is."""
-        if not self.beliefs.accept(table):
+            self.freshness.failed(now, self.jitter())
+        elif not update.behind:
+            self.freshness.succeeded(now, sent_at + update.waited)
+        if isinstance(update.table, Undecodable):
+            self.log_unreadable(update.table, STORE_ORIGIN)
+        elif update.table is not None:
+            self.apply(update.table, STORE_ORIGIN)
+
+    def apply(self, table: RoutingTable, origin: str) -> None:
+        """Put a version in force if it is newer than the present one."""
+        if not self.routing_state.accept(table):
             return
-        self.in_step = origin == SOURCE
+        self.in_sync = origin == STORE_ORIGIN
         age = self.freshness.age(self.clock())
         self.log.belief(
             "configuration",
@@ -135,69 +135,70 @@
         )
         self.on_change()
 
-    def _log_read(self, found: ConfigurationNews, took: float, age: float) -> None:
-        """Count a read that was answered, and tell of one that brought something."""
-        self.on_read(_result_of(found))
-        if not found.records:
+    def _log_read(self, update: ConfigurationNews, took: float, age: float) -> None:
+        """Count an answered read, and log it if it returned records."""
+        self.on_read(_read_result(update))
+        if not update.records:
             return
         self.log.belief(
             "configuration_read",
-            records=found.records,
-            behind=found.behind,
+            records=update.records,
+            behind=update.behind,
             took_ms=round(took * 1000, 1),
             age_ms=round(age * 1000, 1),
         )
 
-    def refuse(self, found: Undecodable, origin: str) -> None:
-        """Tell of a version that cannot be read; what is in force stays."""
-        self.log.belief("configuration_unreadable", reason=found.reason, origin=origin)
+    def log_unreadable(self, error: Undecodable, origin: str) -> None:
+        """Log a version that cannot be decoded; the one in force stays."""
+        self.log.belief("configuration_unreadable", reason=error.reason, origin=origin)
 
-    def _lost(self, found: Unavailable) -> None:
+    def _note_unavailable(self, error: Unavailable) -> None:
         if self.reachable:
             self.reachable = False
-            self.log.belief("configuration_source_lost", reason=found.reason)
+            self.log.belief("configuration_source_lost", reason=error.reason)
 
-    def _regained(self) -> None:
+    def _note_available(self) -> None:
         if not self.reachable:
             self.reachable = True
             self.log.belief("configuration_source_regained")
 
 
-def _result_of(found: ConfigurationNews) -> str:
-    """Return what a read of the configuration brought, for the metrics."""
-    if found.behind:
+def _read_result(update: ConfigurationNews) -> str:
+    """Return the result of a read of the configuration for the metrics."""
+    if update.behind:
         return "behind"
-    if isinstance(found.table, Undecodable):
+    if isinstance(update.table, Undecodable):
         return "unreadable"
-    return "version" if found.table is not None else "nothing"
+    return "version" if update.table is not None else "nothing"
 
 
 @attrs.define
 class DirectoryFollower:
-    """Keeps what is believed of the endpoints up to date.
+    """Keeps the known endpoints up to date.
 
     Attributes:
-        directory: Where they are listed.
-        beliefs: Where they are kept.
-        log: Log of decisions.
+        directory: Directory that lists the endpoints.
+        routing_state: State that holds the endpoints.
+        log: Decision log.
         clock: Returns the present time in seconds.
-        boot_clock: Returns the present time in seconds, counting those for which the
-            machine was suspended; `freshness` goes by it.
-        rank: Returns how many live entries come before this one.
-        on_change: Called after something changed that other entries must know.
-        on_restart: Called with the id of an incarnation that a later one ended.
-        on_unreadable: Called for each entry that names no endpoint to use.
-        budget: How long each step on the way to all entries may take.
-        position: How far the directory was read, None before a whole listing.
-        freshness: How old the knowledge is.
-        reachable: Whether the directory answered last.
-        told: Unreadable entries that were logged, oldest first.
-        watch: Notes what holds up the loop.
-        draw: Returns a number from 0 to 1 that spreads the entries.
+        boot_clock: Returns the present time in seconds, including the time for which
+            the machine was suspended; `freshness` uses it.
+        rank: Returns the number of live entries that read before this one.
+        on_change: Called after a change that other entries must know.
+        on_restart: Called with the id of an incarnation that a later one replaced.
+        on_unreadable: Called for each entry that describes no usable endpoint.
+        budget: How long each step of the propagation to all entries may take.
+        position: Position up to which the directory was read, None before a whole
+            listing.
+        freshness: Age of the known endpoints, and when to read the directory.
+        reachable: Whether the directory answered the last read.
+        logged_unreadable: Unreadable entries that were logged, oldest first.
+        watch: Measures the sections of work that block the event loop.
+        jitter: Returns a number from 0 to 1 that spreads the retries of entries.
     """
 
     directory: EndpointDirectory
-    beliefs: Beliefs
+    routing_state: RoutingState
     log: DecisionLog
     clock: Callable[[], float]
     rank: Callable[[], int]
@@ -208,13 +209,13 @@
     position: int | None = None
     freshness: Freshness = attrs.field()
     reachable: bool = True
-    told: dict[UnreadableEntry, None] = attrs.field(factory=dict)
+    logged_unreadable: dict[UnreadableEntry, None] = attrs.field(factory=dict)
     watch: LoopWatch = attrs.field(factory=LoopWatch)
-    draw: Callable[[], float] = lambda: 0.0
+    jitter: Callable[[], float] = lambda: 0.0
     boot_clock: Callable[[], float] = attrs.field()
 
     @freshness.default
-    def _unknown_age(self) -> Freshness:
+    def _initial_freshness(self) -> Freshness:
         return self.budget.freshness()
 
     @boot_clock.default
@@ -223,122 +224,124 @@
 
     @property
     def period(self) -> float:
-        """Seconds between two reads, less what a look at it may be late."""
-        return min(DIRECTORY_PERIOD, self.budget.wait) - LOOK_PERIOD
+        """Seconds between two reads, less the time by which a check may be late."""
+        return min(DIRECTORY_PERIOD, self.budget.wait) - CHECK_PERIOD
 
     async def run(self) -> None:
-        """Follow the directory for ever."""
+        """Follow the directory until cancelled."""
         while True:
             if self.freshness.due(self.rank(), self.boot_clock()):
                 await self.poll()
-            for endpoint in self.beliefs.fleet.expire(self.clock()):
+            for endpoint in self.routing_state.fleet.expire(self.clock()):
                 self.log.belief("endpoint_lapsed", endpoint=endpoint)
-            await asyncio.sleep(LOOK_PERIOD)
+            await asyncio.sleep(CHECK_PERIOD)
 
     async def poll(self) -> None:
-        """Read once what changed."""
+        """Read the changes once."""
         sent_at, boot_sent_at = self.clock(), self.boot_clock()
-        news = await self.directory.poll(self.position)
+        update = await self.directory.poll(self.position)
         now, boot_now = self.clock(), self.boot_clock()
-        fleet = self.beliefs.fleet
-        if isinstance(news, Unavailable):
+        fleet = self.routing_state.fleet
+        if isinstance(update, Unavailable):
             if self.reachable:
                 self.reachable = False
-                self.log.belief("directory_lost", reason=news.reason)
-            self.freshness.failed(boot_now, self.draw())
+                self.log.belief("directory_lost", reason=update.reason)
+            self.freshness.failed(boot_now, self.jitter())
             return
         if not self.reachable:
             self.reachable = True
             self.log.belief("directory_regained", known_for=now - fleet.known_at)
         fleet.confirm(sent_at)
         revision = fleet.revision
-        self.apply(news, now)
+        self.apply(update, now)
         self.freshness.succeeded(boot_now, boot_sent_at, self.period)
         if fleet.revision != revision:
             self.on_change()
 
-    def from_peer(self, news: FleetNews, peer: str, time_on_way: float) -> None:
-        """Take the endpoints that another entry knows, if it has read further.
+    def from_peer(
+        self, snapshot: FleetSnapshot, peer: str, transit_time: float
+    ) -> None:
+        """Apply the endpoints of another entry if it has read further.
 
         Args:
-            news: What it told.
+            snapshot: Its endpoints.
             peer: Its name.
-            time_on_way: Seconds since it was asked.
+            transit_time: Seconds since they were requested.
         """
-        if self.position is not None and news.position <= self.position:
+        if self.position is not None and snapshot.position <= self.position:
             return
         now = self.clock()
-        age = news.age + time_on_way
-        entries = tuple(EndpointEntry(e.name, e) for e in news.endpoints)
-        self.beliefs.fleet.confirm(now - age)
+        age = snapshot.age + transit_time
+        entries = tuple(EndpointEntry(e.name, e) for e in snapshot.endpoints)
+        self.routing_state.fleet.confirm(now - age)
         with self.watch.section("endpoints from a peer"):
             changed = self.apply(
-                DirectoryNews(True, entries, news.position), now, told=False
+                DirectoryNews(True, entries, snapshot.position), now, log_changes=False
             )
         if changed:
             self.log.belief(
                 "endpoints",
                 origin=peer,
-                position=news.position,
+                position=snapshot.position,
                 changes=len(changed),
-                layers={e.id: _range(e) for e in changed[:MOST_SHOWN]},
+                layers={e.id: _layer_bounds(e) for e in changed[:MAX_LOGGED_ENDPOINTS]},
             )
-        for endpoint, remaining in news.lapsed.items():
-            self.beliefs.fleet.lapsed.setdefault(endpoint, now + remaining)
+        for endpoint, remaining in snapshot.lapsed.items():
+            self.routing_state.fleet.lapsed.setdefault(endpoint, now + remaining)
         self.freshness.confirm(self.boot_clock() - age)
 
     def apply(
-        self, news: DirectoryNews, now: float, told: bool = True
+        self, update: DirectoryNews, now: float, log_changes: bool = True
     ) -> list[Endpoint]:
-        """Take what the directory told; return the endpoints that changed.
+        """Apply an update of the directory; return the endpoints that changed.
 
         Args:
-            news: What it told.
+            update: The update.
             now: Present time in seconds.
-            told: Whether each change gets a line in the log. What came from another
-                entry was told there.
+            log_changes: Whether each change is logged. Changes received from another
+                entry are in the log of that entry.
         """
-        fleet = self.beliefs.fleet
+        fleet = self.routing_state.fleet
         changed: list[Endpoint] = []
-        for entry in news.entries:
+        for entry in update.entries:
             if entry.endpoint is not None:
-                if self._put(entry.endpoint, told):
+                if self._update_endpoint(entry.endpoint, log_changes):
                     changed.append(entry.endpoint)
             elif fleet.remove(entry.name, now):
                 self.log.belief("endpoint_gone", endpoint=entry.name)
-        for unreadable in news.unreadable:
-            self._refuse(unreadable)
-        if news.whole:
-            listed = (*news.entries, *news.unreadable)
+        for unreadable in update.unreadable:
+            self._note_unreadable(unreadable)
+        if update.whole:
+            listed = (*update.entries, *update.unreadable)
             fleet.keep_only({entry.name for entry in listed}, now)
-        self.position = news.position
+        self.position = update.position
         return changed
 
-    def _put(self, endpoint: Endpoint, told: bool) -> bool:
-        """Take an entry that names an endpoint; tell whether it changed anything."""
-        known = self.beliefs.fleet.named(endpoint.name)
-        recognised = self.beliefs.is_configured(endpoint)
-        effect = self.beliefs.fleet.put(endpoint, recognised)
+    def _update_endpoint(self, endpoint: Endpoint, log_changes: bool) -> bool:
+        """Apply an entry that describes an endpoint; return whether it changed."""
+        known = self.routing_state.fleet.named(endpoint.name)
+        recognised = self.routing_state.is_configured(endpoint)
+        effect = self.routing_state.fleet.put(endpoint, recognised)
         changed = effect in (EntryEffect.CHANGED, EntryEffect.RESTARTED)
-        if told and changed:
-            self._tell(endpoint)
+        if log_changes and changed:
+            self._log_endpoint(endpoint)
         if effect is EntryEffect.RESTARTED:
             self.log.belief("endpoint_restarted", endpoint=endpoint.id, ended=known.id)
             self.on_restart(known.id)
         return changed
 
-    def _refuse(self, entry: UnreadableEntry) -> None:
-        """Count an unreadable entry, and tell of it once."""
+    def _note_unreadable(self, entry: UnreadableEntry) -> None:
+        """Count an unreadable entry, and log it once."""
         self.on_unreadable()
-        if entry in self.told:
+        if entry in self.logged_unreadable:
             return
         self.log.belief("entry_unreadable", endpoint=entry.name, reason=entry.reason)
-        self.told[entry] = None
-        while len(self.told) > MOST_TOLD:
-            del self.told[next(iter(self.told))]
+        self.logged_unreadable[entry] = None
+        while len(self.logged_unreadable) > MAX_REMEMBERED_UNREADABLE:
+            del self.logged_unreadable[next(iter(self.logged_unreadable))]
 
-    def _tell(self, endpoint: Endpoint) -> None:
-        """Tell what is believed of an endpoint from now on."""
+    def _log_endpoint(self, endpoint: Endpoint) -> None:
+        """Log what is known of an endpoint from now on."""
         self.log.belief(
             "endpoint",
             endpoint=endpoint.id,
@@ -346,11 +349,11 @@
             zone=endpoint.zone,
             kind=endpoint.accelerator,
             leaving=endpoint.leaving,
-            layers=_range(endpoint),
+            layers=_layer_bounds(endpoint),
         )
 
 
-def _range(endpoint: Endpoint) -> list[int] | None:
-    """Return the layers that an endpoint holds as log lines show them."""
+def _layer_bounds(endpoint: Endpoint) -> list[int] | None:
+    """Return the bounds of the layers that an endpoint holds, for log lines."""
     layers = endpoint.layers
     return [layers.start, layers.end] if layers else None
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -1,4 +1,4 @@
-"""What entries tell one another, put together and taken in."""
+"""Gossip between entries: composes messages and applies received ones."""
 
 from __future__ import annotations
 
@@ -11,21 +11,26 @@
 from lacewingcourse.core.pipelines.peers import Role
 from lacewingcourse.core.pipelines.stamps import StampTable
 from lacewingcourse.core.pipelines.suspects import Reach
-from lacewingcourse.relay.peer_messages import PeerNews, Scope, decode_limit, loads_of
+from lacewingcourse.relay.peer_messages import (
+    GossipMessage,
+    Scope,
+    decode_limit,
+    decode_loads,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from lacewingcourse.core.pipelines.peers import PeerBook
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.duty_holder import DutyHolder
     from lacewingcourse.relay.followers import ConfigurationFollower, DirectoryFollower
     from lacewingcourse.relay.readiness import Readiness
+    from lacewingcourse.relay.routing_state import RoutingState
 
-#: Key under which the loads of all others are kept that a hub told.
-OTHERS = "others"
-#: What suspicions and losses reach whom, by what the loads beside them cover.
+#: Key of the sum of the loads of all other entries, as a hub sends it to a member.
+OTHERS_KEY = "others"
+#: Reach of the suspicions and losses in a message, by the scope of its loads.
 REACH_OF_SCOPE = {
     Scope.OWN: Reach.OWN,
     Scope.ZONE: Reach.ZONE,
@@ -35,34 +40,34 @@
 
 @attrs.define
 class Gossip:
-    """Composes the news of this entry, and learns from those of others.
+    """Composes the messages of this entry and applies those of others.
 
-    Among a few entries each tells what it did itself. Among many, hubs add up what the
-    entries of their availability zone told, and tell each of these what all others
-    did.
+    In a small deployment each entry sends its own loads to all others. In a large one,
+    hubs add up the loads of the entries in their availability zone, and send each of
+    these entries the loads of all others.
 
     Attributes:
         name: Name of this entry.
-        address: Its address for entries.
+        address: Its address for other entries.
         book: The other entries.
-        beliefs: What this entry believes.
-        configuration: Follows the configuration.
-        directory: Follows the directory.
-        holder: Who has the duty of placing.
+        routing_state: State that messages are composed from and applied to.
+        configuration: Follower of the configuration.
+        directory: Follower of the directory.
+        holder: What this entry knows of the holder of the placement duty.
         readiness: Whether this entry is ending.
-        log: Log of decisions.
+        log: Decision log.
         clock: Returns the present time in seconds.
-        ends_in: Returns the seconds until this entry expects to have ended, None if it
-            is not ending.
-        boot_clock: Returns the present time in seconds, counting those for which the
-            machine was suspended.
-        stamps: When the news of others were composed.
+        ends_in: Returns the seconds until this entry is expected to have ended, None if
+            it is not ending.
+        boot_clock: Returns the present time in seconds, including the time for which
+            the machine was suspended.
+        stamps: Time stamps of received messages, to bound their transit times.
     """
 
     name: str
     address: str
     book: PeerBook
-    beliefs: Beliefs
+    routing_state: RoutingState
     configuration: ConfigurationFollower
     directory: DirectoryFollower
     holder: DutyHolder
@@ -82,25 +87,25 @@
         return StampTable(self.boot_clock())
 
     @property
-    def reads(self) -> bool:
+    def platform_reachable(self) -> bool:
         """Whether the platform answers this entry."""
         return self.configuration.reachable and self.directory.reachable
 
-    def news_for(self, receiver: str, zone: str) -> PeerNews:
-        """Return what this entry tells another one.
+    def message_for(self, receiver: str, zone: str) -> GossipMessage:
+        """Compose the message for another entry.
 
         Args:
-            receiver: Its name, empty if it is unknown.
-            zone: Its availability zone, empty if it is unknown.
+            receiver: Its name, empty if unknown.
+            zone: Its availability zone, empty if unknown.
         """
         now, boot_now = self.clock(), self.boot_clock()
         scope = self.scope_for(receiver, zone, now)
         reach = REACH_OF_SCOPE[scope]
-        covered = self._covered(scope, receiver)
-        loads = self.beliefs.loads.total(covered)
-        links = self.beliefs.links.total(now, covered)
-        table, lease = self.beliefs.table, self.holder.lease
-        return PeerNews(
+        included = self._load_filter(scope, receiver)
+        loads = self.routing_state.loads.total(included)
+        links = self.routing_state.links.total(now, included)
+        table, lease = self.routing_state.table, self.holder.lease
+        return GossipMessage(
             name=self.name,
             zone=self.book.zone,
             address=self.address,
@@ -116,38 +121,38 @@
                 if load.requests
             },
             links=[(*pair, round(use, 3)) for pair, use in links.items()],
-            suspects=self.beliefs.suspects.remaining(now, reach),
-            silent=sorted(self.beliefs.suspects.silent(now)),
-            speeds=self.beliefs.speeds.remaining(now),
-            crashes=self.beliefs.crashes.losses(now, reach),
+            suspects=self.routing_state.suspects.remaining(now, reach),
+            silent=sorted(self.routing_state.suspects.silent(now)),
+            speeds=self.routing_state.speeds.remaining(now),
+            crashes=self.routing_state.crashes.losses(now, reach),
             peers={
                 peer.name: (peer.address, peer.zone, round(now - peer.heard_at, 3))
                 for peer in self.book.told_to(zone, now)
             },
-            counts=self._counts(scope, now),
+            counts=self._zone_counts(scope, now),
             holder=lease.holder if lease else "",
             fencing=lease.fencing if lease else 0,
             holder_age=round(self.holder.silence(), 3) if lease else 0.0,
             released=self.holder.released,
             ends_in=self.ends_in(),
-            limits=self.beliefs.limits.observations(now),
-            reads=self.reads,
+            limits=self.routing_state.limits.observations(now),
+            reads=self.platform_reachable,
             stamp=boot_now,
             echo=self.stamps.echo(receiver, boot_now),
         )
 
-    def time_on_way(self, news: PeerNews) -> float:
-        """Return the seconds that have passed since news were composed, at the most.
+    def transit_time(self, message: GossipMessage) -> float:
+        """Return an upper bound of the seconds since a message was composed.
 
         Returns:
-            Infinity if that is not known.
+            Infinity if the message carries no usable echo.
         """
         now = self.boot_clock()
-        composed_at = self.stamps.composed_at(news.echo, now)
+        composed_at = self.stamps.composed_at(message.echo, now)
         return float("inf") if composed_at is None else now - composed_at
 
     def scope_for(self, receiver: str, zone: str, now: float) -> Scope:
-        """Return whose loads another entry is told."""
+        """Return whose loads a message to another entry contains."""
         if self.book.role(now) is not Role.HUB:
             return Scope.OWN
         if zone != self.book.zone:
@@ -155,104 +160,112 @@
         is_hub = receiver in self.book.hubs(now)[self.book.zone]
         return Scope.OWN if is_hub else Scope.OTHERS
 
-    def take(self, news: PeerNews) -> None:
-        """Learn from another entry."""
+    def receive(self, message: GossipMessage) -> None:
+        """Apply a message of another entry."""
         now = self.clock()
-        self.stamps.receive(news.name, news.stamp, self.boot_clock())
-        was_alive = news.name in self.book.alive(now)
+        self.stamps.receive(message.name, message.stamp, self.boot_clock())
+        was_alive = message.name in self.book.alive(now)
         self.book.hear(
-            news.name,
-            news.address,
-            news.leaving,
+            message.name,
+            message.address,
+            message.leaving,
             now,
-            news.zone,
-            news.ends_in,
-            news.reads,
+            message.zone,
+            message.ends_in,
+            message.reads,
         )
-        if not was_alive and not news.leaving:
-            self.log.belief("peer_heard", peer=news.name, address=news.address)
-        # The first word of an entry has no echo, and must not be missed.
-        on_way = self.time_on_way(news)
-        on_way = on_way if isfinite(on_way) else 0.0
-        for name, (address, zone, age) in news.peers.items():
-            self.book.hear_of(name, address, zone, on_way + age, now)
-        self._take_counts(news, now)
-        self._take_loads(news, now)
-        near = news.zone == self.book.zone and news.scope is Scope.OWN
-        for endpoint, remaining in news.suspects.items():
-            silent = endpoint in news.silent
-            self.beliefs.suspects.from_peer(endpoint, remaining, now, near, silent)
-        for endpoint, (factor, remaining) in news.speeds.items():
-            self.beliefs.speeds.from_peer(endpoint, factor, remaining, now)
-        self.beliefs.crashes.from_peer(news.crashes, now, near)
-        self._take_limits(news, now, on_way)
-        holder_age = on_way + news.holder_age
-        self.holder.hear(news.holder, news.fencing, holder_age, news.released)
+        if not was_alive and not message.leaving:
+            self.log.belief("peer_heard", peer=message.name, address=message.address)
+        # The first message of an entry has no echo and is applied all the same.
+        transit = self.transit_time(message)
+        transit = transit if isfinite(transit) else 0.0
+        for name, (address, zone, age) in message.peers.items():
+            self.book.hear_of(name, address, zone, transit + age, now)
+        self._apply_counts(message, now)
+        self._apply_loads(message, now)
+        seen_in_zone = message.zone == self.book.zone and message.scope is Scope.OWN
+        for endpoint, remaining in message.suspects.items():
+            silent = endpoint in message.silent
+            self.routing_state.suspects.from_peer(
+                endpoint, remaining, now, seen_in_zone, silent
+            )
+        for endpoint, (factor, remaining) in message.speeds.items():
+            self.routing_state.speeds.from_peer(endpoint, factor, remaining, now)
+        self.routing_state.crashes.from_peer(message.crashes, now, seen_in_zone)
+        self._apply_limits(message, now, transit)
+        holder_age = transit + message.holder_age
+        self.holder.hear(message.holder, message.fencing, holder_age, message.released)
 
-    def _take_limits(self, news: PeerNews, now: float, on_way: float) -> None:
-        """Take which limits endpoints named to others."""
-        limits = self.beliefs.limits
-        for endpoint, (told, age) in news.limits.items():
-            named, before = decode_limit(told), limits.named(endpoint)
-            if limits.from_peer(endpoint, named, on_way + age, now):
-                self.log.limit(endpoint, named, before, news.name)
+    def _apply_limits(self, message: GossipMessage, now: float, transit: float) -> None:
+        """Apply the limits that endpoints named to other entries."""
+        limits = self.routing_state.limits
+        for endpoint, (encoded, age) in message.limits.items():
+            named, before = decode_limit(encoded), limits.named(endpoint)
+            if limits.from_peer(endpoint, named, transit + age, now):
+                self.log.limit(endpoint, named, before, message.name)
 
-    def _take_counts(self, news: PeerNews, now: float) -> None:
-        """Take how many entries other zones have."""
-        told = {zone: n for zone, n in news.counts.items() if zone != self.book.zone}
-        if news.scope is Scope.OTHERS:
-            self.book.counts = told
+    def _apply_counts(self, message: GossipMessage, now: float) -> None:
+        """Apply the numbers of entries in other availability zones."""
+        counts = {
+            zone: n for zone, n in message.counts.items() if zone != self.book.zone
+        }
+        if message.scope is Scope.OTHERS:
+            self.book.counts = counts
         else:
-            self.book.counts.update(told)
+            self.book.counts.update(counts)
 
-    def _take_loads(self, news: PeerNews, now: float) -> None:
-        """Take what others run, unless it is known already in another sum."""
+    def _apply_loads(self, message: GossipMessage, now: float) -> None:
+        """Apply the loads of other entries unless another sum contains them."""
         role = self.book.role(now)
-        loads, links = self.beliefs.loads, self.beliefs.links
-        uses = {(first, second): use for first, second, use in news.links}
+        loads, links = self.routing_state.loads, self.routing_state.links
+        uses = {(first, second): use for first, second, use in message.links}
         if role is Role.MEMBER:
-            if news.scope is Scope.OTHERS:
-                self._forget_but({OTHERS})
-                loads.from_peer(OTHERS, loads_of(news), now)
-                links.from_peer(OTHERS, uses)
+            if message.scope is Scope.OTHERS:
+                self._forget_except({OTHERS_KEY})
+                loads.from_peer(OTHERS_KEY, decode_loads(message), now)
+                links.from_peer(OTHERS_KEY, uses)
             return
-        key = self._key_of(news, role)
+        key = self._load_key(message, role)
         if key:
-            self._forget(OTHERS)
-            loads.from_peer(key, loads_of(news), now)
+            self._forget(OTHERS_KEY)
+            loads.from_peer(key, decode_loads(message), now)
             links.from_peer(key, uses)
 
-    def _key_of(self, news: PeerNews, role: Role) -> str:
-        """Return under which key loads are kept, empty for those in another sum."""
+    def _load_key(self, message: GossipMessage, role: Role) -> str:
+        """Return the key to store loads under, empty if another sum contains them."""
         if role is Role.EQUAL:
-            return news.name if news.scope is Scope.OWN else ""
-        near = news.zone == self.book.zone
-        if news.scope is Scope.OWN:
-            return news.name if near else ""
-        return f"zone {news.zone}" if news.scope is Scope.ZONE and not near else ""
+            return message.name if message.scope is Scope.OWN else ""
+        same_zone = message.zone == self.book.zone
+        if message.scope is Scope.OWN:
+            return message.name if same_zone else ""
+        return (
+            f"zone {message.zone}"
+            if message.scope is Scope.ZONE and not same_zone
+            else ""
+        )
 
-    def _forget_but(self, kept: set[str]) -> None:
-        for key in set(self.beliefs.loads.peers) - kept:
+    def _forget_except(self, kept: set[str]) -> None:
+        for key in set(self.routing_state.loads.peers) - kept:
             self._forget(key)
 
     def _forget(self, key: str) -> None:
-        self.beliefs.loads.forget(key)
-        self.beliefs.links.forget(key)
+        self.routing_state.loads.forget(key)
+        self.routing_state.links.forget(key)
 
-    def _covered(self, scope: Scope, receiver: str) -> Callable[[str], bool]:
-        """Return which loads of others a message tells besides this entry's own."""
+    def _load_filter(self, scope: Scope, receiver: str) -> Callable[[str], bool]:
+        """Return which loads of others a message includes besides this entry's own."""
         if scope is Scope.OWN:
             return lambda key: False
         if scope is Scope.ZONE:
-            return self._near
+            return self._is_zone_entry
         return lambda key: key != receiver
 
-    def _near(self, key: str) -> bool:
-        """Tell whether loads under a key are those of an entry of this zone."""
+    def _is_zone_entry(self, key: str) -> bool:
+        """Return whether a key stands for the loads of one entry of this zone."""
         return key in self.book.peers
 
-    def _counts(self, scope: Scope, now: float) -> dict[str, int]:
-        """Return how many entries zones have, for those who do not hear them."""
+    def _zone_counts(self, scope: Scope, now: float) -> dict[str, int]:
+        """Return the numbers of live entries by zone, for entries outside of them."""
         if self.book.role(now) is Role.MEMBER:
             return {}
         counts: dict[str, int] = defaultdict(int)
--- a/packages/relay/src/lacewingcourse/relay/housekeeping.py
+++ b/packages/relay/src/lacewingcourse/relay/housekeeping.py
@@ -1,4 +1,4 @@
-"""What an entry does a few times a second: forgetting, and noticing freezes."""
+"""Periodic work of an entry: removes expired state and detects suspensions."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
     from lacewingcourse.core.pipelines.peers import PeerBook
     from lacewingcourse.core.pipelines.permits import PermitIssuer
     from lacewingcourse.core.pipelines.retry_budget import RetryBudget
-    from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.connections import ConnectionPool
+    from lacewingcourse.relay.routing_state import RoutingState
 
 #: Seconds between two rounds.
 PERIOD = 0.25
-#: Seconds that this process must have been frozen for to doubt what it knows.
-FREEZE = 0.5
+#: Suspension of the machine in seconds above which earlier state counts as stale.
+FREEZE_THRESHOLD = 0.5
 
 
 @attrs.define
 class Housekeeping:
-    """Forgets what is over.
+    """Removes expired state, and reports suspensions of the machine.
 
     Attributes:
-        beliefs: What this entry believes.
+        routing_state: State that routing decisions read.
         pool: Connections to endpoints.
         book: The other entries.
-        budget: Repeats that are left.
-        issuer: Permits that this entry has given out.
+        budget: Retry budget.
+        issuer: Issuer of permits of this entry.
         clock: Returns the present time in seconds.
-        on_thaw: Called with the seconds for which this process was frozen.
+        on_thaw: Called with the seconds for which the machine was suspended.
     """
 
-    beliefs: Beliefs
+    routing_state: RoutingState
     pool: ConnectionPool
     book: PeerBook
     budget: RetryBudget
@@ -47,35 +47,36 @@
     on_thaw: Callable[[float], None]
 
     async def run(self) -> None:
-        """Keep house for ever."""
-        asleep = seconds_asleep(self.clock())
+        """Run rounds until cancelled."""
+        suspended = suspend_time(self.clock())
         while True:
             now = self.clock()
-            slept, asleep = seconds_asleep(now) - asleep, seconds_asleep(now)
-            if slept > FREEZE:
-                self.on_thaw(slept)
-            self.forget(now)
+            frozen_for, suspended = suspend_time(now) - suspended, suspend_time(now)
+            if frozen_for > FREEZE_THRESHOLD:
+                self.on_thaw(frozen_for)
+            self.expire(now)
             await asyncio.sleep(PERIOD)
 
-    def forget(self, now: float) -> None:
-        """Forget what is over, and count the entries that share the budget."""
+    def expire(self, now: float) -> None:
+        """Remove expired state, and count the entries that share the budget."""
         self.pool.expire(now)
-        for peer in self.beliefs.loads.expire(now):
-            self.beliefs.links.forget(peer)
-        self.beliefs.suspects.expire(now)
-        self.beliefs.speeds.expire(now)
-        self.beliefs.crashes.expire(now)
-        self.beliefs.send_limits.expire(self.beliefs.fleet.endpoints, now)
-        self.beliefs.send_limits.sharing.entries = self.book.count(now)
+        for peer in self.routing_state.loads.expire(now):
+            self.routing_state.links.forget(peer)
+        self.routing_state.suspects.expire(now)
+        self.routing_state.speeds.expire(now)
+        self.routing_state.crashes.expire(now)
+        self.routing_state.send_limits.expire(self.routing_state.fleet.endpoints, now)
+        self.routing_state.send_limits.sharing.entries = self.book.count(now)
         self.issuer.expire(now)
         self.budget.entries = max(self.book.count(now), self.budget.entries)
         self.budget.known = 1 + len(self.book.peers)
 
 
-def seconds_asleep(now: float) -> float:
-    """Return the seconds that the loop's clock did not count, up to a constant.
+def suspend_time(now: float) -> float:
+    """Return the seconds for which the machine was suspended, plus a constant.
 
-    The loop's clock stands still while the machine is suspended; this one does not.
+    The loop's clock stands still while the machine is suspended; the boot clock does
+    not.
 
     Args:
         now: Present time of the loop's clock in seconds.
--- a/packages/relay/src/lacewingcourse/relay/peers.py
+++ b/packages/relay/src/lacewingcourse/relay/peers.py
@@ -1,4 +1,4 @@
-"""Speaking with other entries: loads, suspicions, configuration and endpoints."""
+"""Exchanges with other entries over HTTP: gossip, configuration and endpoints."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.peer_messages import (
-    FleetNews,
-    PeerNews,
+    FleetSnapshot,
+    GossipMessage,
     decode,
     encode,
 )
 from lacewingcourse.relay.ports import Unavailable
-from lacewingcourse.relay.small_server import Question, Reply
+from lacewingcourse.relay.small_server import Reply, ServerRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -27,23 +27,23 @@
     from lacewingcourse.relay.gossip import Gossip
     from lacewingcourse.relay.ports import PeerRegistry
 
-#: Seconds between two rounds. Loads that are older mislead: in a round an entry of
-#: today's deployments begins two requests.
-PERIOD = 0.2
-#: Seconds in which another entry must answer. Well above a round trip and below what
-#: makes an entry look silent.
+#: Seconds between two rounds of gossip. Older loads lead to wrong choices: in a round
+#: an entry of today's deployments starts two requests.
+GOSSIP_PERIOD = 0.2
+#: Seconds in which another entry must answer: well above a round trip, and below the
+#: time after which an entry counts as silent.
 TIMEOUT = 0.6
-#: Seconds after which the same is fetched from a further entry.
+#: Seconds after which the same document is also requested from a further entry.
 HEDGE_DELAY = 0.1
-#: Seconds between two looks at the registry while no other entry is heard.
+#: Seconds between two reads of the registry while no other entry is alive.
 REGISTRY_PERIOD = 2.0
-#: Exchanges with other entries that may be under way at once.
-MOST_EXCHANGES = 24
-#: Level of compression of a version: the quickest. Routes are alike, so that higher
-#: levels save little more.
-COMPRESSION = 1
-#: Path of news.
-NEWS_PATH = "/peer/news"
+#: Maximum number of concurrent requests to other entries.
+MAX_EXCHANGES = 24
+#: gzip level for a version, the fastest one: routes are alike, so that higher levels
+#: save little more.
+COMPRESSION_LEVEL = 1
+#: Path of gossip messages.
+GOSSIP_PATH = "/peer/news"
 #: Path of the configuration.
 CONFIGURATION_PATH = "/peer/configuration"
 #: Path of the endpoints.
@@ -51,12 +51,12 @@
 
 
 @attrs.frozen
-class PackedVersion:
-    """A version of the configuration as other entries get it.
+class CompressedVersion:
+    """A version of the configuration, compressed for other entries.
 
     Attributes:
         version: Its number.
-        body: Its document, compressed.
+        body: Its document, compressed with gzip.
     """
 
     version: int
@@ -65,20 +65,20 @@
 
 @attrs.define
 class PeerExchange:
-    """Tells other entries what this one knows, and learns from them.
+    """Exchanges gossip, configuration and endpoints with other entries.
 
     Attributes:
-        gossip: What is told and learned.
-        seeds: Addresses of entries that may be asked before any is known.
-        registry: Where entries leave their addresses.
+        gossip: Composes messages and applies received ones.
+        seeds: Addresses that are contacted until their entries are known.
+        registry: Registry of the addresses of entries.
         clock: Returns the present time in seconds.
-        on_unreadable: Called for each message that cannot be read.
+        on_unreadable: Called for each message that cannot be decoded.
         client: HTTP client.
-        fetching: Addresses of entries with which an exchange is under way.
-        fetches: When fetches that are under way began, by what is fetched and the
-            address of the entry.
-        wake: Set when something must be told at once.
-        packed: The version that was asked for last, compressed, None before it.
+        active_exchanges: Addresses of entries with an exchange in progress.
+        active_fetches: Start times of the fetches in progress, by resource and address
+            of the entry.
+        wake: Set when a change must be sent at once.
+        compressed: The version that was requested last, None before the first request.
     """
 
     gossip: Gossip
@@ -88,13 +88,13 @@
     on_unreadable: Callable[[], None]
     client: CurlAsyncHTTPClient = attrs.field(
         factory=lambda: CurlAsyncHTTPClient(
-            force_instance=True, max_clients=MOST_EXCHANGES
+            force_instance=True, max_clients=MAX_EXCHANGES
         )
     )
-    fetching: set[str] = attrs.field(factory=set)
-    fetches: dict[str, dict[str, float]] = attrs.field(factory=dict)
+    active_exchanges: set[str] = attrs.field(factory=set)
+    active_fetches: dict[str, dict[str, float]] = attrs.field(factory=dict)
     wake: asyncio.Event = attrs.field(factory=asyncio.Event)
-    packed: PackedVersion | None = None
+    compressed: CompressedVersion | None = None
 
     @property
     def book(self) -> PeerBook:
@@ -102,15 +102,15 @@
         return self.gossip.book
 
     def handlers(self) -> dict:
-        """Return what answers other entries."""
+        """Return the handlers of requests of other entries, by method and path."""
         return {
-            ("POST", NEWS_PATH): self._on_news,
+            ("POST", GOSSIP_PATH): self._on_gossip,
             ("GET", CONFIGURATION_PATH): self._on_configuration,
             ("GET", FLEET_PATH): self._on_fleet,
         }
 
     async def run(self) -> None:
-        """Speak to other entries for ever."""
+        """Run rounds of gossip until cancelled."""
         while True:
             now = self.clock()
             self.book.expire(now)
@@ -118,18 +118,19 @@
             urgent = self.wake.is_set()
             self.wake.clear()
             for peer in self.book.partners(now, urgent):
-                self._begin(peer.address, peer.name, peer.zone)
+                self._start_exchange(peer.address, peer.name, peer.zone)
             self._try_seeds()
             try:
-                async with asyncio.timeout(PERIOD):
+                async with asyncio.timeout(GOSSIP_PERIOD):
                     await self.wake.wait()
             except TimeoutError:
                 pass
 
     async def keep_registered(self) -> None:
-        """Leave this entry's address, and look for others while none is heard.
+        """Register this entry's address, and look for others while none is alive.
 
-        Seeds may be stale, and an entry that hears nobody would take every duty.
+        Seeds may be stale, and an entry that knows of no live one would take over every
+        duty.
         """
         announced = False
         while True:
@@ -139,48 +140,48 @@
                 )
                 announced = failed is None
             if len(self.book.alive(self.clock())) == 1:
-                await self._look_up()
+                await self._query_registry()
             await asyncio.sleep(REGISTRY_PERIOD)
 
-    async def _look_up(self) -> None:
-        found = await self.registry.listed()
-        if isinstance(found, Unavailable):
+    async def _query_registry(self) -> None:
+        addresses = await self.registry.listed()
+        if isinstance(addresses, Unavailable):
             return
         now = self.clock()
-        for name, address in found.items():
+        for name, address in addresses.items():
             self.book.learn(name, address, now)
 
-    def tell_now(self) -> None:
-        """Tell the others at once, since something changed that binds them."""
+    def exchange_now(self) -> None:
+        """Start a round at once, after a change that other entries must know."""
         self.wake.set()
 
     def _try_seeds(self) -> None:
-        """Ask the seeds whose entries are not known yet."""
+        """Contact the seeds whose entries are not known yet."""
         known = {peer.address for peer in self.book.peers.values()}
         for seed in self.seeds:
             if seed != self.gossip.address and seed not in known:
-                self._begin(seed)
+                self._start_exchange(seed)
 
-    def _begin(self, address: str, name: str = "", zone: str = "") -> None:
-        """Begin an exchange unless one with the same entry is under way."""
-        if address not in self.fetching:
-            self.fetching.add(address)
-            news = encode(self.gossip.news_for(name, zone))
-            asyncio.ensure_future(self._exchange(address, news))
+    def _start_exchange(self, address: str, name: str = "", zone: str = "") -> None:
+        """Start an exchange with an entry unless one is in progress."""
+        if address not in self.active_exchanges:
+            self.active_exchanges.add(address)
+            message = encode(self.gossip.message_for(name, zone))
+            asyncio.ensure_future(self._exchange(address, message))
 
-    async def _exchange(self, address: str, news: bytes) -> None:
+    async def _exchange(self, address: str, message: bytes) -> None:
         try:
-            body = await self.fetch(address, NEWS_PATH, news)
-            found = self._read(body, PeerNews, address)
-            if found is not None:
-                self.take(found)
+            body = await self.fetch(address, GOSSIP_PATH, message)
+            answer = self._decode(body, GossipMessage, address)
+            if answer is not None:
+                self.receive(answer)
         finally:
-            self.fetching.discard(address)
+            self.active_exchanges.discard(address)
 
     async def fetch(
         self, address: str, path: str, body: bytes | None = None
     ) -> bytes | None:
-        """Return an entry's answer, None if there is none."""
+        """Return the body of an entry's response, None without a successful one."""
         request = HTTPRequest(
             f"http://{address}{path}",
             method="GET" if body is None else "POST",
@@ -194,111 +195,114 @@
             return None
         return response.body if response.code == 200 else None
 
-    def take(self, news: PeerNews) -> None:
-        """Learn from another entry, and fetch what it knows better."""
-        with self.gossip.beliefs.watch.section("news of a peer"):
-            self.gossip.take(news)
-        time_on_way = self.gossip.time_on_way(news)
-        self._compare_configuration(news, time_on_way)
-        self._compare_fleet(news, time_on_way)
-
-    def _compare_configuration(self, news: PeerNews, time_on_way: float) -> None:
-        table = self.gossip.beliefs.table
+    def receive(self, message: GossipMessage) -> None:
+        """Apply a message of another entry, and fetch what is newer there."""
+        with self.gossip.routing_state.watch.section("news of a peer"):
+            self.gossip.receive(message)
+        transit_time = self.gossip.transit_time(message)
+        self._compare_configuration(message, transit_time)
+        self._compare_fleet(message, transit_time)
+
+    def _compare_configuration(
+        self, message: GossipMessage, transit_time: float
+    ) -> None:
+        table = self.gossip.routing_state.table
         version = table.version if table else 0
-        if news.version == version and version:
-            known_at = self.gossip.boot_clock() - time_on_way - news.version_age
+        if message.version == version and version:
+            known_at = self.gossip.boot_clock() - transit_time - message.version_age
             self.gossip.configuration.freshness.confirm(known_at)
-        elif news.version > version:
-            self._begin_fetch("configuration", news, self._fetch_configuration)
-
-    def _compare_fleet(self, news: PeerNews, time_on_way: float) -> None:
-        """Take over what another entry has read of the directory after this one."""
-        if news.position > (self.gossip.directory.position or 0):
-            self._begin_fetch("fleet", news, self._fetch_fleet)
-        elif news.position == self.gossip.directory.position:
-            age = time_on_way + news.position_age
+        elif message.version > version:
+            self._start_fetch("configuration", message, self._fetch_configuration)
+
+    def _compare_fleet(self, message: GossipMessage, transit_time: float) -> None:
+        """Fetch the endpoints of an entry that has read further, or confirm the own."""
+        if message.position > (self.gossip.directory.position or 0):
+            self._start_fetch("fleet", message, self._fetch_fleet)
+        elif message.position == self.gossip.directory.position:
+            age = transit_time + message.position_age
             freshness = self.gossip.directory.freshness
             freshness.confirm(self.gossip.boot_clock() - age)
-            self.gossip.beliefs.fleet.confirm(self.clock() - age)
+            self.gossip.routing_state.fleet.confirm(self.clock() - age)
 
-    def _begin_fetch(self, what: str, news: PeerNews, fetch) -> None:
-        """Fetch from an entry unless another fetch of the same has just begun.
+    def _start_fetch(self, resource: str, message: GossipMessage, fetch) -> None:
+        """Fetch from an entry unless another fetch of the resource has just started.
 
-        One from an entry that has stopped holds up the others for a moment only.
+        No fetch starts while one from the same entry is in progress. One from an entry
+        that has stopped delays the others by `HEDGE_DELAY` only.
         """
         now = self.clock()
-        under_way = self.fetches.setdefault(what, {})
-        if news.address in under_way:
+        in_progress = self.active_fetches.setdefault(resource, {})
+        if message.address in in_progress:
             return
-        if any(now - began_at < HEDGE_DELAY for began_at in under_way.values()):
+        if any(now - began_at < HEDGE_DELAY for began_at in in_progress.values()):
             return
-        under_way[news.address] = now
-        asyncio.ensure_future(self._fetching(what, news, fetch))
+        in_progress[message.address] = now
+        asyncio.ensure_future(self._run_fetch(resource, message, fetch))
 
-    async def _fetching(self, what: str, news: PeerNews, fetch) -> None:
+    async def _run_fetch(self, resource: str, message: GossipMessage, fetch) -> None:
         try:
-            await fetch(news)
+            await fetch(message)
         finally:
-            del self.fetches[what][news.address]
+            del self.active_fetches[resource][message.address]
 
-    async def _fetch_configuration(self, news: PeerNews) -> None:
-        body = await self.fetch(news.address, CONFIGURATION_PATH)
+    async def _fetch_configuration(self, message: GossipMessage) -> None:
+        body = await self.fetch(message.address, CONFIGURATION_PATH)
         if not body:
             return
-        found = self.gossip.configuration.source.decode(body)
-        if isinstance(found, Undecodable):
-            self.gossip.configuration.refuse(found, news.name)
+        table = self.gossip.configuration.source.decode(body)
+        if isinstance(table, Undecodable):
+            self.gossip.configuration.log_unreadable(table, message.name)
         else:
-            self.gossip.configuration.take(found, news.name)
+            self.gossip.configuration.apply(table, message.name)
 
-    async def _fetch_fleet(self, news: PeerNews) -> None:
+    async def _fetch_fleet(self, message: GossipMessage) -> None:
         sent_at = self.gossip.boot_clock()
-        body = await self.fetch(news.address, FLEET_PATH)
-        found = self._read(body, FleetNews, news.address)
-        if found is not None:
-            time_on_way = self.gossip.boot_clock() - sent_at
-            self.gossip.directory.from_peer(found, news.name, time_on_way)
-
-    def _read(self, body: bytes | None, kind: type, origin: str):
-        """Return the message that a body holds, None if there is none."""
+        body = await self.fetch(message.address, FLEET_PATH)
+        snapshot = self._decode(body, FleetSnapshot, message.address)
+        if snapshot is not None:
+            transit_time = self.gossip.boot_clock() - sent_at
+            self.gossip.directory.from_peer(snapshot, message.name, transit_time)
+
+    def _decode(self, body: bytes | None, kind: type, origin: str):
+        """Return the message in a body, None if it is empty or cannot be decoded."""
         if not body:
             return None
-        found = decode(body, kind)
-        if isinstance(found, Undecodable):
+        message = decode(body, kind)
+        if isinstance(message, Undecodable):
             self.on_unreadable()
             self.gossip.log.belief(
-                "message_unreadable", reason=found.reason, origin=origin
+                "message_unreadable", reason=message.reason, origin=origin
             )
             return None
-        return found
+        return message
 
-    def _on_news(self, question: Question) -> Reply:
-        news = self._read(question.body, PeerNews, "a caller")
-        if news is None:
+    def _on_gossip(self, request: ServerRequest) -> Reply:
+        message = self._decode(request.body, GossipMessage, "a caller")
+        if message is None:
             return Reply(400)
-        self.take(news)
-        return Reply(200, encode(self.gossip.news_for(news.name, news.zone)))
+        self.receive(message)
+        return Reply(200, encode(self.gossip.message_for(message.name, message.zone)))
 
-    def _on_configuration(self, question: Question) -> Reply:
-        table = self.gossip.beliefs.table
+    def _on_configuration(self, request: ServerRequest) -> Reply:
+        table = self.gossip.routing_state.table
         if table is None:
             return Reply(404)
-        # Other entries ask together, and their links are small: a version in full holds
-        # up the events of every stream on both sides.
-        if self.packed is None or self.packed.version != table.version:
-            body = gzip.compress(table.document, COMPRESSION)
-            self.packed = PackedVersion(table.version, body)
-        return Reply(200, self.packed.body, encoding="gzip")
-
-    def _on_fleet(self, question: Question) -> Reply:
+        # Entries request a new version at the same time over narrow links. An
+        # uncompressed one delays the events of every stream on both sides.
+        if self.compressed is None or self.compressed.version != table.version:
+            body = gzip.compress(table.document, COMPRESSION_LEVEL)
+            self.compressed = CompressedVersion(table.version, body)
+        return Reply(200, self.compressed.body, encoding="gzip")
+
+    def _on_fleet(self, request: ServerRequest) -> Reply:
         if self.gossip.directory.position is None:
             return Reply(404)
         now = self.clock()
-        fleet = self.gossip.beliefs.fleet
-        news = FleetNews(
+        fleet = self.gossip.routing_state.fleet
+        message = FleetSnapshot(
             position=self.gossip.directory.position,
             age=self.gossip.directory.freshness.age(self.gossip.boot_clock()),
             endpoints=list(fleet.endpoints.values()),
             lapsed={name: until - now for name, until in fleet.lapsed.items()},
         )
-        return Reply(200, encode(news))
+        return Reply(200, encode(message))
--- a/packages/relay/src/lacewingcourse/relay/small_server.py
+++ b/packages/relay/src/lacewingcourse/relay/small_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server for questions with short answers."""
+"""A small HTTP server for requests with short responses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Question:
+class ServerRequest:
     """A request to the small server.
 
     Attributes:
@@ -35,12 +35,12 @@
 
 @attrs.frozen
 class Reply:
-    """The answer to a question.
+    """The response to a request.
 
     Attributes:
         status: HTTP status.
         body: Its body.
-        content_type: Type of the body.
+        content_type: Media type of the body.
         encoding: Content coding of the body, empty for none.
     """
 
@@ -51,30 +51,30 @@
 
 
 class SmallServer(HTTPServerConnectionDelegate):
-    """Answers questions by method and path.
+    """Dispatches requests to handlers by method and path.
 
     Attributes:
-        handlers: What answers, by method and path.
+        handlers: Request handlers by method and path.
     """
 
     def __init__(
-        self, handlers: dict[tuple[str, str], Callable[[Question], Reply]]
+        self, handlers: dict[tuple[str, str], Callable[[ServerRequest], Reply]]
     ) -> None:
         self.handlers = handlers
 
     def start_request(
         self, server_conn: object, request_conn: HTTP1Connection
     ) -> HTTPMessageDelegate:
-        """Return what answers the next question of a connection."""
-        return _Answering(self.handlers, request_conn)
+        """Return the delegate that answers the next request of a connection."""
+        return _RequestHandler(self.handlers, request_conn)
 
 
-class _Answering(HTTPMessageDelegate):
-    """Takes one question and answers it."""
+class _RequestHandler(HTTPMessageDelegate):
+    """Receives one request and writes its response."""
 
     def __init__(
         self,
-        handlers: dict[tuple[str, str], Callable[[Question], Reply]],
+        handlers: dict[tuple[str, str], Callable[[ServerRequest], Reply]],
         connection: HTTP1Connection,
     ) -> None:
         self.handlers = handlers
@@ -97,7 +97,7 @@
         if handler is None:
             reply = Reply(404)
         else:
-            reply = handler(Question(self.target, bytes(self.body)))
+            reply = handler(ServerRequest(self.target, bytes(self.body)))
         line = ResponseStartLine("HTTP/1.1", reply.status, responses[reply.status])
         headers = HTTPHeaders(
             {"Content-Type": reply.content_type, "Content-Length": str(len(reply.body))}
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/restarts.py
@@ -16,14 +16,14 @@
 from lacewingcourse.core.pipelines.routing import Organisation, RetrySafety
 from lacewingcourse.core.pipelines.shape import EngineShape
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.endings import Endings
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.gossip import Gossip
 from lacewingcourse.relay.leaving import Departure
-from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
-from lacewingcourse.relay.peers import PERIOD
+from lacewingcourse.relay.peer_messages import GossipMessage, decode, encode
+from lacewingcourse.relay.peers import GOSSIP_PERIOD
 from lacewingcourse.relay.readiness import Readiness
+from lacewingcourse.relay.routing_state import RoutingState
 
 from .routes import route_of
 from .stream_play import CallerStub, Decisions
@@ -150,9 +150,9 @@
 
     def start(self, name: str) -> None:
         """Start a process of an entry, and let it speak."""
-        beliefs = Beliefs()
+        routing_state = RoutingState()
         route = route_of("rooms", RetrySafety.RESUMABLE_STREAM)
-        beliefs.table = SimpleNamespace(
+        routing_state.table = SimpleNamespace(
             version=1,
             services={"rooms": SimpleNamespace(shape=self.shape)},
             route=lambda host, path: route,
@@ -161,14 +161,14 @@
         )
         for _ in range(64):
             events = self.lengths(self.rng)
-            beliefs.durations.note("rooms", events * INTERVAL)
-            beliefs.durations.note_stream("rooms", INTERVAL, INTERVAL)
-        process = self._process(name, beliefs)
+            routing_state.durations.note("rooms", events * INTERVAL)
+            routing_state.durations.note_stream("rooms", INTERVAL, INTERVAL)
+        process = self._process(name, routing_state)
         self.processes[name] = process
         asyncio.ensure_future(self._speak(name, process))
 
-    def _process(self, name: str, beliefs: Beliefs) -> Process:
-        readiness = Readiness(beliefs, GRACE, LAST_REQUESTS.get("redirected"))
+    def _process(self, name: str, routing_state: RoutingState) -> Process:
+        readiness = Readiness(routing_state, GRACE, LAST_REQUESTS.get("redirected"))
         codec = SimpleNamespace(
             decode=decode_request,
             refusal=lambda refusal, request: (
@@ -181,7 +181,7 @@
         for other in self.names:
             book.learn(other, other, self.clock())
         gateway = Gateway(
-            beliefs,
+            routing_state,
             codec,
             SimpleNamespace(budget=SimpleNamespace(on_request=lambda *args: None)),
             SimpleNamespace(serve=write_events),
@@ -200,7 +200,7 @@
             name,
             name,
             book,
-            beliefs,
+            routing_state,
             follower,
             follower,
             SimpleNamespace(lease=None, released=0, hear=lambda *news: None),
@@ -214,23 +214,23 @@
 
     async def _speak(self, name: str, process: Process) -> None:
         """Speak with the other entries as long as a process runs."""
-        await asyncio.sleep(self.rng.uniform(0.0, PERIOD))
+        await asyncio.sleep(self.rng.uniform(0.0, GOSSIP_PERIOD))
         while self.processes.get(name) is process:
             for peer in process.gossip.book.partners(self.clock()):
                 asyncio.ensure_future(self._exchange(process, peer.name))
-            await asyncio.sleep(PERIOD)
+            await asyncio.sleep(GOSSIP_PERIOD)
 
     async def _exchange(self, process: Process, other_name: str) -> None:
         """Let a process speak to another one, and that one answer."""
-        news = encode(process.gossip.news_for(other_name, ""))
+        news = encode(process.gossip.message_for(other_name, ""))
         await asyncio.sleep(TRIP)
         other = self.processes.get(other_name)
         if other is None:
             return
-        other.gossip.take(decode(news, PeerNews))
-        answer = encode(other.gossip.news_for(process.gossip.name, ""))
+        other.gossip.receive(decode(news, GossipMessage))
+        answer = encode(other.gossip.message_for(process.gossip.name, ""))
         await asyncio.sleep(TRIP)
-        process.gossip.take(decode(answer, PeerNews))
+        process.gossip.receive(decode(answer, GossipMessage))
 
     async def restart(self, name: str) -> None:
         """Ask an entry to end, and start it again."""
@@ -258,7 +258,7 @@
         """Restart all entries, each with an open answer."""
         for name in self.names:
             self.start(name)
-        await asyncio.sleep(5 * PERIOD)
+        await asyncio.sleep(5 * GOSSIP_PERIOD)
         restarts = []
         for name in self.names:
             self.processes[name].call(self.lengths(self.rng))
--- a/packages/relay/tests/relay/test_configuration_follower.py
+++ b/packages/relay/tests/relay/test_configuration_follower.py
@@ -1,4 +1,4 @@
-"""Tests of which versions an entry reads, and what it takes for the newest."""
+"""Tests of which versions a follower reads, and when they are taken for the newest."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 from lacewingcourse.core.pipelines.freshness import Freshness, PropagationBudget
 from lacewingcourse.relay.application import Application
-from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.followers import ConfigurationFollower
 from lacewingcourse.relay.ports import ConfigurationNews
+from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.staleness import StalenessGuard
 
 
 def table(version: int) -> SimpleNamespace:
-    """Return what stands for a version."""
+    """Return a stand-in for a version."""
     return SimpleNamespace(version=version)
 
 
 @attrs.define
 class Source:
-    """A source whose answers a test sets.
+    """A source with answers set by the test.
 
     Attributes:
         now: Present time in seconds.
-        news: What the next read brings.
-        took: Seconds until it does.
-        asked: What it was asked for.
+        news: Answer to the next read.
+        took: Seconds until that answer.
+        calls: Names of the methods called.
     """
 
     now: float = 100.0
     news: ConfigurationNews = ConfigurationNews(None)
     took: float = 0.0
-    asked: list[str] = attrs.field(factory=list)
+    calls: list[str] = attrs.field(factory=list)
 
     async def newest(self) -> ConfigurationNews:
         return self.answer("newest")
@@ -44,20 +44,20 @@
     async def next(self, wait: float) -> ConfigurationNews:
         return self.answer("next")
 
-    def answer(self, question: str) -> ConfigurationNews:
-        self.asked.append(question)
+    def answer(self, call: str) -> ConfigurationNews:
+        self.calls.append(call)
         self.now += self.took
         return self.news
 
 
 @pytest.fixture
 def follower():
-    """Return a follower whose source and clock a test sets."""
+    """Return a follower with a source and a clock set by the test."""
     log = SimpleNamespace(belief=lambda *args, **fields: None)
     source = Source()
     return ConfigurationFollower(
         source,
-        Beliefs(),
+        RoutingState(),
         log,
         lambda: source.now,
         lambda: 1,
@@ -69,37 +69,39 @@
 def read(
     follower: ConfigurationFollower, news: ConfigurationNews, took: float = 0.0
 ) -> None:
-    """Let a follower read once, which takes some seconds."""
+    """Read once, with an answer that takes some seconds."""
     follower.source.news, follower.source.took = news, took
     asyncio.run(follower.read())
 
 
 def test_a_read_that_more_versions_follow_does_not_count_as_the_newest(follower):
     read(follower, ConfigurationNews(table(3), records=1, behind=7))
-    assert follower.beliefs.table.version == 3
+    assert follower.routing_state.table.version == 3
     assert follower.freshness.due(1, 100.0)
 
 
-def test_an_entry_that_others_told_versions_does_not_read_those_in_between(follower):
+def test_a_follower_skips_versions_before_one_that_a_peer_sent(follower):
     read(follower, ConfigurationNews(table(3), records=1))
     read(follower, ConfigurationNews(None))
-    follower.take(table(9), "another")
+    follower.apply(table(9), "another")
     read(follower, ConfigurationNews(None))
     read(follower, ConfigurationNews(None))
-    assert follower.source.asked == ["newest", "next", "newest", "next"]
+    assert follower.source.calls == ["newest", "next", "newest", "next"]
 
 
-def test_a_late_answer_tells_what_was_the_newest_when_it_was_asked_for(follower):
+def test_a_slow_answer_confirms_the_version_as_of_its_request(follower):
     read(follower, ConfigurationNews(table(3), records=1), took=1.5)
     assert follower.freshness.age(follower.source.now) == pytest.approx(1.5)
 
 
-def test_a_read_that_waited_in_vain_tells_what_was_the_newest_after_its_wait(follower):
+def test_a_read_without_changes_confirms_the_version_as_of_the_end_of_its_wait(
+    follower,
+):
     read(follower, ConfigurationNews(None, waited=0.8), took=1.1)
     assert follower.freshness.age(follower.source.now) == pytest.approx(0.3)
 
 
-def test_a_version_that_cannot_be_read_confirms_nothing_until_a_readable_one_comes(
+def test_an_unreadable_version_confirms_nothing_until_a_readable_one_comes(
     follower,
 ):
     read(follower, ConfigurationNews(table(3), records=1))
@@ -110,12 +112,12 @@
     assert follower.freshness.age(follower.source.now) == pytest.approx(0.1)
 
 
-def test_a_version_that_cannot_be_read_is_not_read_without_a_pause(follower):
+def test_an_unreadable_version_delays_the_next_read(follower):
     read(follower, ConfigurationNews(Undecodable("no JSON"), records=1))
     assert not follower.freshness.due(0, follower.source.now)
 
 
-def test_changed_bounds_hold_for_what_is_known_already(follower):
+def test_changed_bounds_apply_to_known_versions(follower):
     directory = SimpleNamespace(budget=None, freshness=Freshness(9.0, 9.0))
     guard = StalenessGuard()
     entry = SimpleNamespace(
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of what entries learn from one another, in small and large deployments."""
+"""Tests of the gossip between entries, in small and large deployments."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from lacewingcourse.core.pipelines.peers import MEMBER_RANK, PEER_SILENT, Role
 from lacewingcourse.core.pipelines.request_limits import NO_LIMIT
 from lacewingcourse.core.pipelines.retry_budget import COUNTING_TIME
-from lacewingcourse.relay.peers import PERIOD, REGISTRY_PERIOD
+from lacewingcourse.relay.peers import GOSSIP_PERIOD, REGISTRY_PERIOD
 
 from .network import Network
 
 
 @pytest.fixture
 def large():
-    """A deployment of 28 entries in three zones that has found itself."""
+    """A deployment of 28 entries in three zones after its discovery of all entries."""
     network = Network({"a": 10, "b": 9, "c": 9})
     network.rounds(15)
     return network
 
 
 def give_loads(network: Network) -> None:
-    """Let each entry run one request on one endpoint."""
+    """Start one request of each entry on one endpoint."""
     for entry in network.entries.values():
-        entry.beliefs.loads.begin_call("x")
+        entry.routing_state.loads.begin_call("x")
 
 
 def test_a_few_entries_all_know_one_another():
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("zones", [{"a": 2, "b": 1}, dict.fromkeys("abcde", 14)])
 def test_entries_are_counted_before_they_use_their_shares_of_the_retries(zones):
     network = Network(zones)
-    network.rounds(int((COUNTING_TIME - REGISTRY_PERIOD) / PERIOD))
+    network.rounds(int((COUNTING_TIME - REGISTRY_PERIOD) / GOSSIP_PERIOD))
     counts = {e.book.count(network.clock()) for e in network.entries.values()}
     assert counts == {sum(zones.values())}
 
@@ -59,7 +59,7 @@
     network.rounds(15)
     give_loads(network)
     network.rounds(6)
-    loads = [e.beliefs.loads.of("x").requests for e in network.entries.values()]
+    loads = [e.routing_state.loads.of("x").requests for e in network.entries.values()]
     assert loads == [len(network.entries)] * len(network.entries)
 
 
@@ -68,7 +68,7 @@
     assert counts == {28}
 
 
-def test_one_entry_reads_for_all(large):
+def test_hubs_have_distinct_ranks_before_members(large):
     ranks = sorted(e.book.rank(large.clock()) for e in large.entries.values())
     assert ranks[:7] == [0, 1, 2, 3, 4, 5, 10]
 
@@ -76,46 +76,51 @@
 @pytest.mark.parametrize(
     "zones", [{"a": 2, "b": 2, "c": 1}, {"a": 10, "b": 9, "c": 9}], ids=["few", "many"]
 )
-def test_an_entry_that_the_platform_does_not_answer_leaves_reading_to_the_next(zones):
+def test_an_entry_without_the_platform_is_the_last_reader(zones):
     network = Network(zones)
     network.rounds(15)
     first, second = "a-00", "a-01" if zones["a"] == 2 else "b-00"
-    cut = network.entries[first]
-    cut.configuration = follower_of_a_cut_entry(cut.configuration)
+    disconnected = network.entries[first]
+    disconnected.configuration = unreachable_follower(disconnected.configuration)
     network.rounds(3)
     now = network.clock()
-    ranks = {n: e.book.reader_rank(now, e.reads) for n, e in network.entries.items()}
+    ranks = {
+        n: e.book.reader_rank(now, e.platform_reachable)
+        for n, e in network.entries.items()
+    }
     assert ranks[second] == 0
     assert ranks[first] == max(r for r in ranks.values() if r < MEMBER_RANK)
 
 
-def follower_of_a_cut_entry(follower: SimpleNamespace) -> SimpleNamespace:
-    """Return what follows a platform that does not answer."""
+def unreachable_follower(follower: SimpleNamespace) -> SimpleNamespace:
+    """Return a follower of a platform that does not answer."""
     return SimpleNamespace(**vars(follower) | {"reachable": False})
 
 
-def test_a_suspicion_reaches_all_and_dies_out(large):
-    large.entries["c-05"].beliefs.suspects.suspect("x", "reset", large.clock())
+def test_a_suspicion_reaches_all_entries_and_expires(large):
+    large.entries["c-05"].routing_state.suspects.suspect("x", "reset", large.clock())
     large.rounds(4)
     left_out = [
         name
         for name, entry in large.entries.items()
-        if "x" in entry.beliefs.suspects.excluded(large.clock())
+        if "x" in entry.routing_state.suspects.excluded(large.clock())
     ]
     assert len(left_out) == 28
     large.rounds(20)
     for entry in large.entries.values():
-        assert entry.beliefs.suspects.excluded(large.clock()) == set()
+        assert entry.routing_state.suspects.excluded(large.clock()) == set()
 
 
 def test_a_limit_and_its_end_reach_all(large):
     for named in (2.5, NO_LIMIT):
         for entry in (large.entries["c-05"], large.entries["a-07"]):
             now = large.clock()
-            entry.beliefs.limits.observe("x", named, now - 0.01, now)
+            entry.routing_state.limits.observe("x", named, now - 0.01, now)
         large.rounds(4)
-        told = {entry.beliefs.limits.named("x") for entry in large.entries.values()}
-        assert told == {named}
+        named_limits = {
+            entry.routing_state.limits.named("x") for entry in large.entries.values()
+        }
+        assert named_limits == {named}
 
 
 @pytest.mark.parametrize(
@@ -131,39 +136,41 @@
     assert names <= set(network.entries)
 
 
-def test_losses_under_a_request_reach_all(large):
+def test_crashes_under_a_request_reach_all_entries(large):
     for number, name in enumerate(["a-05", "b-05", "c-05"]):
-        crashes = large.entries[name].beliefs.crashes
+        crashes = large.entries[name].routing_state.crashes
         crashes.strike("r", f"x{number}", large.clock())
     large.rounds(5)
     now = large.clock()
-    assert all(e.beliefs.crashes.is_refused("r", now) for e in large.entries.values())
+    assert all(
+        e.routing_state.crashes.is_refused("r", now) for e in large.entries.values()
+    )
 
 
 def test_entries_find_new_hubs_after_those_of_a_zone_are_gone(large):
     for name in ("b-00", "b-01"):
         del large.entries[name]
-    large.rounds(int(3 * PEER_SILENT / PERIOD))
+    large.rounds(int(3 * PEER_SILENT / GOSSIP_PERIOD))
     hubs = {name for name, role in large.roles().items() if role is Role.HUB}
     assert {"b-02", "b-03"} <= hubs
     give_loads(large)
     large.rounds(6)
-    loads = {e.beliefs.loads.of("x").requests for e in large.entries.values()}
+    loads = {e.routing_state.loads.of("x").requests for e in large.entries.values()}
     assert loads == {26}
 
 
-def test_a_deployment_that_shrinks_speaks_directly_again(large):
+def test_a_deployment_that_shrinks_returns_to_a_full_mesh(large):
     for name in list(large.entries)[:20]:
         del large.entries[name]
     large.rounds(150)
     assert set(large.roles().values()) == {Role.EQUAL}
     give_loads(large)
     large.rounds(6)
-    loads = {e.beliefs.loads.of("x").requests for e in large.entries.values()}
+    loads = {e.routing_state.loads.of("x").requests for e in large.entries.values()}
     assert loads == {8}
 
 
-def test_entries_of_other_zones_are_left_to_the_hubs(large):
+def test_only_hubs_exchange_messages_across_zones(large):
     """A round has one exchange of each member, and those between hubs."""
     large.rounds(10)
     before = large.exchanges
@@ -173,7 +180,7 @@
 
 
 def test_exchanges_of_an_entry_do_not_grow_with_the_deployment():
-    """With 24 zones a round has about as many exchanges as there are entries."""
+    """With 24 zones a round has fewer than five exchanges for each entry."""
     network = Network({f"z{number:02}": 5 for number in range(24)})
     network.rounds(25)
     before = network.exchanges
--- a/packages/relay/tests/relay/test_limit_permits.py
+++ b/packages/relay/tests/relay/test_limit_permits.py
@@ -1,4 +1,4 @@
-"""Tests of permits that entries ask one another for."""
+"""Tests of the permits that entries request from one another."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     decode,
     encode,
 )
-from lacewingcourse.relay.small_server import Question
+from lacewingcourse.relay.small_server import ServerRequest
 
 from .stream_play import Decisions
 from .virtual_time import play
@@ -29,17 +29,17 @@
 
 
 class Entries:
-    """Entries that know one another, with messages between them.
+    """Entries that know one another, and the messages between them.
 
     Attributes:
         exchanges: Their exchanges by name.
         answers: Whether messages are answered.
-        asked: Addresses that messages were sent to.
+        contacted: Addresses to which messages were sent.
     """
 
     def __init__(self) -> None:
         self.answers = True
-        self.asked: list[str] = []
+        self.contacted: list[str] = []
         self.unreadable = 0
         self.exchanges = {name: self.make(name) for name in NAMES}
 
@@ -58,7 +58,7 @@
             Decisions(),
             self.count_unreadable,
         )
-        limits.on_want = exchange.check
+        limits.on_want = exchange.schedule_check
         return exchange
 
     def count_unreadable(self) -> None:
@@ -66,15 +66,15 @@
 
     async def fetch(self, address: str, path: str, body: bytes) -> bytes | None:
         assert path == PERMITS_PATH
-        self.asked.append(address)
+        self.contacted.append(address)
         await asyncio.sleep(0.001)
         if not self.answers:
             return None
         handler = self.exchanges[address].handlers()["POST", PERMITS_PATH]
-        return handler(Question(path, body)).body
+        return handler(ServerRequest(path, body)).body
 
     async def wait_for_permit(self, name: str, limit: float, seconds: float) -> bool:
-        """Let an entry want a permit; tell whether it has one after some time."""
+        """Let an entry request a permit; return whether it gets one in time."""
         exchange = self.exchanges[name]
         exchange.limits.table.observe(ENDPOINT, limit, 0.0, 0.0)
         task = asyncio.ensure_future(exchange.run())
@@ -93,22 +93,22 @@
     async def test():
         entries = Entries()
         assert await entries.wait_for_permit(name, 2.0, 1.1)
-        assert set(entries.asked) == ({ISSUER} if name == OTHER else set())
+        assert set(entries.contacted) == ({ISSUER} if name == OTHER else set())
 
     play(test())
 
 
-def test_an_issuer_that_does_not_answer_is_not_pressed():
+def test_an_issuer_that_does_not_answer_is_asked_again_after_a_delay():
     async def test():
         entries = Entries()
         entries.answers = False
         assert not await entries.wait_for_permit(OTHER, 2.0, 1.0)
-        assert len(entries.asked) <= 6
+        assert len(entries.contacted) <= 6
 
     play(test())
 
 
-def test_an_issuer_learns_of_a_limit_from_who_asks():
+def test_an_issuer_takes_a_limit_from_a_permit_request():
     async def test():
         entries = Entries()
         await entries.wait_for_permit(OTHER, 2.0, 1.0)
@@ -124,19 +124,19 @@
         exchange = Entries().exchanges[name]
         exchange.is_leaving = lambda: leaves
         request = PermitRequest("e9", ENDPOINT, 5, [], 100.0, 0.0)
-        reply = exchange._on_request(Question(PERMITS_PATH, encode(request)))
+        reply = exchange._on_request(ServerRequest(PERMITS_PATH, encode(request)))
         assert decode(reply.body, PermitReply).issuer == ""
         assert decode(reply.body, PermitReply).delays == []
 
     play(test())
 
 
-def test_what_cannot_be_read_gives_no_permit():
+def test_an_unreadable_message_gives_no_permit():
     async def test():
         entries = Entries()
         exchange = entries.exchanges[ISSUER]
-        assert exchange._on_request(Question(PERMITS_PATH, b"{}")).status == 400
-        assert exchange._granted(b"[]").delays == ()
+        assert exchange._on_request(ServerRequest(PERMITS_PATH, b"{}")).status == 400
+        assert exchange._decode_grant(b"[]").delays == ()
         assert entries.unreadable == 2
 
     play(test())
--- a/packages/relay/tests/relay/test_peers.py
+++ b/packages/relay/tests/relay/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of what entries get from one another over a connection."""
+"""Tests of the exchanges between entries over a connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from lacewingcourse.relay.peers import (
     CONFIGURATION_PATH,
-    PERIOD,
+    GOSSIP_PERIOD,
     TIMEOUT,
     PeerExchange,
 )
@@ -24,18 +24,18 @@
 )
 
 
-def exchange(document: bytes) -> PeerExchange:
-    """Return what speaks with other entries where a version is in force."""
+def make_exchange(document: bytes) -> PeerExchange:
+    """Return the exchange of an entry that has a version in force."""
     table = SimpleNamespace(version=7, document=document)
-    gossip = SimpleNamespace(beliefs=SimpleNamespace(table=table))
+    gossip = SimpleNamespace(routing_state=SimpleNamespace(table=table))
     return PeerExchange(gossip, (), None, lambda: 0.0, lambda: None)
 
 
-def test_a_version_takes_little_of_the_links_of_entries():
-    """A version filled the link of a small entry, and events came late behind it."""
+def test_a_version_is_sent_compressed():
+    """An uncompressed version filled the link of a small entry and delayed events."""
 
     async def fetched():
-        peers = exchange(DOCUMENT)
+        peers = make_exchange(DOCUMENT)
         server = HTTPServer(SmallServer(peers.handlers()))
         server.listen(0, "127.0.0.1")
         (listening,) = server._sockets.values()
@@ -45,45 +45,45 @@
         finally:
             server.stop()
             await server.close_all_connections()
-        return body, peers.packed
+        return body, peers.compressed
 
-    body, packed = asyncio.run(fetched())
+    body, compressed = asyncio.run(fetched())
     assert body == DOCUMENT
-    assert len(packed.body) < len(DOCUMENT) / 5
+    assert len(compressed.body) < len(DOCUMENT) / 5
 
 
 def test_a_version_is_fetched_elsewhere_when_an_entry_has_stopped():
-    """A fetch from an entry that stood still held up the version for its timeout."""
+    """A fetch from a stopped entry delayed the version by the whole timeout."""
 
     async def fetched():
         loop = asyncio.get_running_loop()
-        peers = exchange(DOCUMENT)
+        peers = make_exchange(DOCUMENT)
         peers.clock = loop.time
-        asked = []
+        fetches = []
 
-        async def fetch(news):
-            asked.append((news.address, loop.time()))
-            if news.address == "stopped":
+        async def fetch(message):
+            fetches.append((message.address, loop.time()))
+            if message.address == "stopped":
                 await asyncio.sleep(TIMEOUT)
 
         for _ in range(4):
             for address in ("stopped", "sound"):
-                news = SimpleNamespace(address=address)
-                peers._begin_fetch("configuration", news, fetch)
-            await asyncio.sleep(PERIOD / 2)
+                message = SimpleNamespace(address=address)
+                peers._start_fetch("configuration", message, fetch)
+            await asyncio.sleep(GOSSIP_PERIOD / 2)
         await asyncio.sleep(TIMEOUT)
-        return asked, peers.fetches
+        return fetches, peers.active_fetches
 
-    asked, left = play(fetched())
-    addresses = [address for address, _ in asked]
+    fetches, left = play(fetched())
+    addresses = [address for address, _ in fetches]
     assert addresses.count("stopped") == 1
-    assert dict(reversed(asked))["sound"] <= PERIOD
+    assert dict(reversed(fetches))["sound"] <= GOSSIP_PERIOD
     assert left == {"configuration": {}}
 
 
 def test_a_version_is_compressed_once():
-    peers = exchange(DOCUMENT)
+    peers = make_exchange(DOCUMENT)
     first = peers._on_configuration(None)
     assert peers._on_configuration(None).body is first.body
-    peers.gossip.beliefs.table = SimpleNamespace(version=8, document=b"{}")
+    peers.gossip.routing_state.table = SimpleNamespace(version=8, document=b"{}")
     assert peers._on_configuration(None).body != first.body
