--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -192,7 +192,7 @@
             self.clock,
             self._reader_rank,
             self._tell_peers,
-            self.stalls.restarted,
+            self.stalls.move_streams_from,
             self.metrics.unreadable_entries.inc,
             PropagationBudget(self.settings.bounds.departure),
             watch=self.watch,
--- a/packages/relay/src/lacewingcourse/relay/calls.py
+++ b/packages/relay/src/lacewingcourse/relay/calls.py
@@ -79,7 +79,7 @@
         try:
             return await self._serve(job)
         finally:
-            self.sender.drop_holds(job)
+            self.sender.release_holds(job)
 
     async def _serve(self, job: Job) -> WholeAnswer | Refusal:
         """Send a call until it is answered or cannot be sent again."""
@@ -158,7 +158,7 @@
         limits.release(job)
         found = self._choose_among(job, usable, job.avoid.union(besides), now)
         if isinstance(found, Refusal):
-            self.sender.drop_holds(job)
+            self.sender.release_holds(job)
         else:
             limits.hold(found.id, job, now)
         return found
@@ -198,7 +198,7 @@
             if not isinstance(result, NoAnswer) or not result.dropped:
                 return result
             # Endpoints drop kept connections without notice; it is no lost run.
-            self.sender.pool.drop(endpoint.address)
+            self.sender.pool.close_idle(endpoint.address)
             job.sends -= 1
             job.note(result.outcome, result.reason)
             again = await self._ask(job, endpoint, fresh=True)
@@ -257,9 +257,9 @@
         while answer is None:
             now = self.sender.clock()
             if now >= job.until:
-                return reader.give_up("no answer in time", timed_out=True)
+                return reader.abandon("no answer in time", timed_out=True)
             if self._may_leave(job, endpoint, now):
-                return reader.give_up("no answer yet, and another one may give it")
+                return reader.abandon("no answer yet, and another one may give it")
             answer = await reader.read(min(job.until, now + RETRY_PERIOD))
         return answer
 
--- a/packages/relay/src/lacewingcourse/relay/connections.py
+++ b/packages/relay/src/lacewingcourse/relay/connections.py
@@ -99,7 +99,7 @@
 
     idle: dict[str, list[Connection]] = attrs.field(factory=dict)
 
-    def take(self, address: str, now: float) -> Connection | None:
+    def acquire(self, address: str, now: float) -> Connection | None:
         """Return an idle connection, None if there is none that may be used."""
         waiting = self.idle.get(address, [])
         while waiting:
@@ -140,10 +140,10 @@
                 return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             except OSError:
                 for address in list(self.idle):
-                    self.drop(address)
+                    self.close_idle(address)
         return None
 
-    def give_back(
+    def release(
         self, connection: Connection, keep_alive: float | None, now: float
     ) -> None:
         """Keep a connection whose last answer was read to its end."""
@@ -162,7 +162,7 @@
         for address, waiting in list(self.idle.items()):
             self._close(address, [c for c in waiting if c.usable_until <= now])
 
-    def drop(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close all idle connections to an endpoint, which has dropped one of them."""
         self._close(address, list(self.idle.get(address, ())))
 
--- a/packages/relay/src/lacewingcourse/relay/moving.py
+++ b/packages/relay/src/lacewingcourse/relay/moving.py
@@ -8,7 +8,7 @@
 
 from lacewingcourse.core.errors import ErrorKind, Refusal
 from lacewingcourse.relay.connections import NotSent, Unsent
-from lacewingcourse.relay.stream_state import Replacement, Standby, StreamEnd
+from lacewingcourse.relay.stream_state import AttemptEnd, Replacement, Standby
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -20,7 +20,7 @@
     from lacewingcourse.relay.job import Job
     from lacewingcourse.relay.sending import Sender
     from lacewingcourse.relay.stall_watcher import StallWatcher
-    from lacewingcourse.relay.stream_state import RunResult, StreamState
+    from lacewingcourse.relay.stream_state import AttemptResult, StreamState
 
 
 class Forwarder(Protocol):
@@ -54,7 +54,7 @@
     def unreachable(self, job: Job, path: Path) -> None:
         """Leave out the first endpoint of a path, to which no connection was made."""
 
-    def learn(self, job: Job, path: Path, result: RunResult) -> None:
+    def record_failure(self, job: Job, path: Path, result: AttemptResult) -> None:
         """Leave out what failed, for this request or for all."""
 
 
@@ -137,17 +137,17 @@
 
     def failed(self, standby: Standby) -> None:
         """Learn from a run that its engine did not accept."""
-        if standby.failure.end is StreamEnd.DROPPED:
+        if standby.failure.end is AttemptEnd.DROPPED:
             # It takes no attempt; the next one goes over a new connection.
             self.job.sends -= 1
             self.fresh = True
-            self.forwarder.sender.pool.drop(standby.path.first.address)
+            self.forwarder.sender.pool.close_idle(standby.path.first.address)
         else:
-            self.forwarder.learn(self.job, standby.path, standby.failure)
+            self.forwarder.record_failure(self.job, standby.path, standby.failure)
         self._keep_present(standby)
 
     def _drop_holds(self) -> None:
-        self.forwarder.sender.drop_holds(self.job)
+        self.forwarder.sender.release_holds(self.job)
 
     def _keep_present(self, standby: Standby) -> None:
         self.end(standby)
--- a/packages/relay/src/lacewingcourse/relay/sending.py
+++ b/packages/relay/src/lacewingcourse/relay/sending.py
@@ -76,7 +76,7 @@
             address: Address of the endpoint.
             fresh: Whether it must never have been used before.
         """
-        kept = None if fresh else self.pool.take(address, self.clock())
+        kept = None if fresh else self.pool.acquire(address, self.clock())
         return kept or await self.pool.connect(address)
 
     async def send(
@@ -100,19 +100,19 @@
         started = self.clock()
         connection = reserved or await self.reserve(sending.address, fresh)
         if isinstance(connection, NotSent):
-            self.drop_holds(job)
+            self.release_holds(job)
             return connection
         now = self.clock()
         passed = now - started
         sending = attrs.evolve(sending, time_left=sending.time_left - passed)
-        cause = self._cause_unsent(job, sending, now)
+        cause = self._claim_send(job, sending, now)
         if cause is not None:
-            self.drop_holds(job)
+            self.release_holds(job)
             connection.close()
             return NotSent(cause)
         return self.start(job, sending, connection)
 
-    def drop_holds(self, job: Job) -> None:
+    def release_holds(self, job: Job) -> None:
         """Give back the retry and the place under a limit that a request holds."""
         self.budget.release(job.service, job)
         self.limits.release(job)
@@ -137,7 +137,7 @@
         exchange.start(request.method, request.target, headers, request.body)
         return exchange
 
-    def _cause_unsent(self, job: Job, sending: Sending, now: float) -> Unsent | None:
+    def _claim_send(self, job: Job, sending: Sending, now: float) -> Unsent | None:
         """Take what a send needs; return why it may not be sent, if so."""
         if job.refused_at(now) is not None:
             return Unsent.LEAVING
@@ -153,7 +153,7 @@
     def release(self, exchange: Exchange, head: AnswerHead | None) -> None:
         """Keep or close the connection of an exchange that is over."""
         if head is not None and exchange.reusable:
-            self.pool.give_back(exchange.connection, head.keep_alive, self.clock())
+            self.pool.release(exchange.connection, head.keep_alive, self.clock())
         else:
             exchange.abandon()
 
@@ -243,14 +243,14 @@
             elif isinstance(arrival, Data):
                 self.body += arrival.data
             elif isinstance(arrival, Abandoned):
-                return self.give_up(arrival.reason)
+                return self.abandon(arrival.reason)
             elif isinstance(arrival, End):
                 self.sender.release(self.exchange, self.head)
                 return self._judge(arrival)
             else:
                 return None
 
-    def give_up(self, reason: str, timed_out: bool = False) -> NoAnswer:
+    def abandon(self, reason: str, timed_out: bool = False) -> NoAnswer:
         """Close the exchange, so that the endpoint stops its work.
 
         Args:
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -25,7 +25,7 @@
     from lacewingcourse.relay.ports import EngineReport, EngineReports
 
 #: Seconds between two looks, a fraction of the shortest silence that is looked at.
-PERIOD = 0.02
+CHECK_PERIOD = 0.02
 #: Seconds between two questions to the same endpoint.
 QUESTION_PERIOD = 0.1
 #: Seconds in which an endpoint must answer that lives. A report takes a round trip and
@@ -33,7 +33,7 @@
 ANSWER_TIMEOUT = 0.05
 #: Seconds after which a question is put a second time, or at once if its connection
 #: failed: a packet may be lost, and a kept connection may have been reset.
-SECOND_QUESTION = 0.02
+SECOND_PROBE_DELAY = 0.02
 #: Seconds for which it is believed without a question that an endpoint is dead. An
 #: older suspicion may have been refuted meanwhile.
 FRESH = 0.5
@@ -69,7 +69,7 @@
         watch: Decides which streams may stand still.
         jobs: The requests whose streams are watched.
         asked: When each endpoint was last asked, by address.
-        asking: Addresses of the endpoints that are being asked.
+        probing: Addresses of the endpoints that are being asked.
         answered: When the last question that each address answered was put.
     """
 
@@ -84,7 +84,7 @@
     watch: StallWatch = attrs.field(factory=StallWatch)
     jobs: dict[Watched, Job] = attrs.field(factory=dict)
     asked: dict[str, float] = attrs.field(factory=dict)
-    asking: set[str] = attrs.field(factory=set)
+    probing: set[str] = attrs.field(factory=set)
     answered: dict[str, float] = attrs.field(factory=dict)
 
     def begin(self, job: Job, now: float) -> None:
@@ -120,9 +120,9 @@
         """
         last = self.clock()
         while True:
-            await asyncio.sleep(PERIOD)
+            await asyncio.sleep(CHECK_PERIOD)
             now = self.clock()
-            if now - last < 2 * PERIOD:
+            if now - last < 2 * CHECK_PERIOD:
                 self.look(now)
             last = now
 
@@ -149,7 +149,7 @@
 
     def _ask_all(self, parts: Iterable[Part], now: float) -> None:
         for part in parts:
-            self.ask(part, now)
+            self.probe(part, now)
 
     def _move_early(self, endpoint: str, now: float) -> None:
         """Send silent streams on whose endpoint has not answered at once.
@@ -166,7 +166,7 @@
             if job.may_move and self.finder.is_idle(job, unheard):
                 self._move(watched, unheard)
 
-    def ask(self, part: Part, now: float) -> None:
+    def probe(self, part: Part, now: float) -> None:
         """Ask an endpoint whether it lives, unless it was asked just now.
 
         What the first part tells of requests that stand still at it is older than the
@@ -174,10 +174,10 @@
         moment.
         """
         asked = self.asked.get(part.address, float("-inf"))
-        if part.address in self.asking or now - asked < QUESTION_PERIOD:
+        if part.address in self.probing or now - asked < QUESTION_PERIOD:
             return
         self.asked[part.address] = now
-        self.asking.add(part.address)
+        self.probing.add(part.address)
         asyncio.ensure_future(self._ask(part))
 
     async def _ask(self, part: Part) -> None:
@@ -190,7 +190,7 @@
                 started = self.clock()
                 found = await self._compare(part)
         finally:
-            self.asking.discard(part.address)
+            self.probing.discard(part.address)
         if isinstance(found, Undecodable):
             # It answered, so it is no dead one; what it says is not known.
             self.log.belief(
@@ -198,14 +198,17 @@
             )
         elif isinstance(found, Unavailable):
             # A process that stood still itself has not read an answer that came.
-            if self.clock() - started < ANSWER_TIMEOUT + SECOND_QUESTION + PERIOD:
+            if (
+                self.clock() - started
+                < ANSWER_TIMEOUT + SECOND_PROBE_DELAY + CHECK_PERIOD
+            ):
                 self._dead({part.endpoint}, f"no report: {found.reason}")
         elif isinstance(found, NobodyAnswers):
             self.log.belief(
                 "not_suspected", endpoint=part.endpoint, compared=found.compared
             )
         elif self.on_start(part.name, found.born):
-            self.restarted(part.endpoint)
+            self.move_streams_from(part.endpoint)
         else:
             self.speeds.tell(part.endpoint, found.pace, self.clock())
             self._take_report(part, found)
@@ -215,11 +218,11 @@
     ) -> EngineReport | Unavailable | Undecodable:
         """Return an endpoint's report, or why neither of two questions brought one."""
         first = asyncio.ensure_future(self._report(part.address))
-        await asyncio.wait({first}, timeout=SECOND_QUESTION)
+        await asyncio.wait({first}, timeout=SECOND_PROBE_DELAY)
         if first.done() and not isinstance(first.result(), Unavailable):
             return first.result()
         now = self.clock()
-        prompt = now - started < SECOND_QUESTION + PERIOD
+        prompt = now - started < SECOND_PROBE_DELAY + CHECK_PERIOD
         if prompt and self._others_answer(part, started):
             self._move_early(part.endpoint, now)
         second = asyncio.ensure_future(self._report(part.address))
@@ -250,7 +253,7 @@
         later may be answered over a link that is free again.
         """
         since = started - TOGETHER
-        until = started + SECOND_QUESTION + TOGETHER
+        until = started + SECOND_PROBE_DELAY + TOGETHER
         return any(
             since <= asked <= until
             for address, asked in self.answered.items()
@@ -290,7 +293,7 @@
         if dead:
             self._dead(dead, f"named by {asked.address} as not answering")
 
-    def restarted(self, ended: str) -> None:
+    def move_streams_from(self, ended: str) -> None:
         """Send the streams through an incarnation that has ended on elsewhere."""
         for watched in list(self.jobs):
             if watched.path.uses({ended}):
--- a/packages/relay/src/lacewingcourse/relay/stream_run.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_run.py
@@ -15,7 +15,7 @@
     WholeAnswer,
     next_arrival,
 )
-from lacewingcourse.relay.stream_state import Replacement, RunResult, StreamEnd
+from lacewingcourse.relay.stream_state import AttemptEnd, AttemptResult, Replacement
 from lacewingcourse.relay.upstream import (
     Abandoned,
     Data,
@@ -92,14 +92,14 @@
     moving_since: float | None = None
     standby: Standby | None = None
     listening: asyncio.Task | None = None
-    over: RunResult | None = None
+    over: AttemptResult | None = None
 
     @property
     def job(self) -> Job:
         """The request."""
         return self.state.job
 
-    async def relay(self) -> RunResult:
+    async def relay(self) -> AttemptResult:
         """Pass on what arrives until the run ends."""
         try:
             return await self._relay()
@@ -108,7 +108,7 @@
                 self.listening.cancel()
                 self.mover.drop(self.standby)
 
-    async def _relay(self) -> RunResult:
+    async def _relay(self) -> AttemptResult:
         arrivals = self.exchange.arrivals
         self.began_at = self.state.quiet_since = self.sender.clock()
         if self.first is not None:
@@ -116,7 +116,7 @@
         while True:
             now = self.sender.clock()
             arrival = await next_arrival(self.exchange, self._look_at(now), now)
-            result: RunResult | None = None
+            result: AttemptResult | None = None
             if isinstance(arrival, Head):
                 result = await self._take_head(arrival)
             elif isinstance(arrival, Data):
@@ -148,7 +148,7 @@
             return min(self.job.until, self.state.quiet_since + SILENCE_PATIENCE)
         return self.job.until
 
-    async def _take_head(self, arrival: Head) -> RunResult | None:
+    async def _take_head(self, arrival: Head) -> AttemptResult | None:
         """Take the head of an answer; return the end of a run that is no stream."""
         self.head = self.sender.codec.head(
             arrival.status, arrival.headers, self.job.request
@@ -172,12 +172,12 @@
             return
         self._begin_answer(events)
 
-    async def _stand_still(self, arrival: Stalled) -> RunResult | None:
+    async def _stand_still(self, arrival: Stalled) -> AttemptResult | None:
         """Return the end of a run that stands still, None if it is kept open."""
         now = self.sender.clock()
         if now >= self.job.until:
             self._give_up("the time of the route is over")
-            return RunResult(StreamEnd.OVERDUE, self.job.reason)
+            return AttemptResult(AttemptEnd.OVERDUE, self.job.reason)
         if self.standby is not None:
             return self._give_up_standby(arrival, now)
         if not self.job.may_move or not self.exchange.arrivals.empty():
@@ -200,7 +200,7 @@
             await self._begin_standby(found)
             return None
         self._give_up(STOOD_STILL)
-        return RunResult(StreamEnd.STALLED, self.job.reason, replacement=found)
+        return AttemptResult(AttemptEnd.STALLED, self.job.reason, replacement=found)
 
     async def _begin_standby(self, found: Replacement) -> None:
         """Begin the next run beside this one."""
@@ -225,7 +225,7 @@
             standby.failure = self._lost(exchange, began_at, arrival)
         self.exchange.arrivals.put_nowait(StandbyHeard())
 
-    def _take_standby(self) -> RunResult | None:
+    def _take_standby(self) -> AttemptResult | None:
         """Go on with the standby if it was accepted and this run did not go on."""
         standby = self.standby
         if standby is None or not (standby.head or standby.failure):
@@ -243,9 +243,11 @@
             self._give_up(STOOD_STILL)
         self.mover.end(standby)
         replacement = Replacement(standby.path, standby=standby)
-        return RunResult(StreamEnd.STALLED, self.job.reason, replacement=replacement)
+        return AttemptResult(
+            AttemptEnd.STALLED, self.job.reason, replacement=replacement
+        )
 
-    def _give_up_standby(self, arrival: Stalled, now: float) -> RunResult | None:
+    def _give_up_standby(self, arrival: Stalled, now: float) -> AttemptResult | None:
         """Drop a standby that stands still as well."""
         if not arrival.known and now < self.standby.began_at + SILENCE_PATIENCE:
             return None
@@ -270,35 +272,37 @@
         self.exchange.abandon()
         self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
 
-    def _ended(self, arrival: End | Abandoned) -> RunResult | None:
+    def _ended(self, arrival: End | Abandoned) -> AttemptResult | None:
         """Return what the end of a run amounts to, None while another is heard of."""
         if isinstance(arrival, Abandoned):
             self._give_up(arrival.reason)
             self.job.caller.break_off()
-            return RunResult(StreamEnd.ABANDONED, arrival.reason)
+            return AttemptResult(AttemptEnd.ABANDONED, arrival.reason)
         if arrival.complete and not self.state.cutter.pending:
             self.sender.release(self.exchange, self.head)
             self._end_whole()
-            return RunResult(StreamEnd.WHOLE)
+            return AttemptResult(AttemptEnd.WHOLE)
         if self.moving_since is None:
             return self._lost(self.exchange, self.began_at, arrival)
         # An engine ends a run that stood still behind another part; it is not lost.
         self._give_up(arrival.reason or CUT_EVENT)
-        result = RunResult(StreamEnd.STALLED, self.job.reason)
+        result = AttemptResult(AttemptEnd.STALLED, self.job.reason)
         if self.standby is None:
             return result
         self.over = result
         return None
 
-    def _lost(self, exchange: Exchange, began_at: float, arrival: Arrival) -> RunResult:
+    def _lost(
+        self, exchange: Exchange, began_at: float, arrival: Arrival
+    ) -> AttemptResult:
         """Return what the early end of a run amounts to."""
         reason = getattr(arrival, "reason", "") or CUT_EVENT
         exchange.abandon()
         self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
         now = self.sender.clock()
         if exchange.was_dropped and now < began_at + DROP_NOTICED:
-            return RunResult(StreamEnd.DROPPED, reason)
-        return RunResult(StreamEnd.LOST, reason, first_lost=True)
+            return AttemptResult(AttemptEnd.DROPPED, reason)
+        return AttemptResult(AttemptEnd.LOST, reason, first_lost=True)
 
     def _end_whole(self) -> None:
         """End the caller's answer, which may have no events."""
@@ -312,7 +316,7 @@
         headers.pop("Content-Length", None)
         self.job.caller.begin(self.state.head.status, headers, events)
 
-    async def _refused(self, exchange: Exchange, head: AnswerHead) -> RunResult:
+    async def _refused(self, exchange: Exchange, head: AnswerHead) -> AttemptResult:
         """Read the body of an answer that is no stream, and keep a failure."""
         job = self.job
         body = bytearray()
@@ -327,18 +331,18 @@
         whole = isinstance(arrival, End) and arrival.complete
         self.sender.release(exchange, head if whole else None)
         if isinstance(arrival, Abandoned):
-            return RunResult(StreamEnd.ABANDONED, arrival.reason)
+            return AttemptResult(AttemptEnd.ABANDONED, arrival.reason)
         if head.standing is Standing.REJECTED:
             reason = f"rejected with {head.status}"
             job.note(SendOutcome.REJECTED, reason)
-            return RunResult(
-                StreamEnd.REJECTED, reason, head.fault_address, head.misdirected
+            return AttemptResult(
+                AttemptEnd.REJECTED, reason, head.fault_address, head.misdirected
             )
         job.note(SendOutcome.MAY_HAVE_RUN, f"status {head.status} {head.reason}")
         if head.standing is not Standing.ANSWERED or not whole or job.caller.begun:
-            return RunResult(StreamEnd.LOST, job.reason)
+            return AttemptResult(AttemptEnd.LOST, job.reason)
         self.state.failure = WholeAnswer(head, bytes(body))
         # What an engine says of the request itself, another one would say as well.
         if head.status >= SERVER_ERROR and job.may_send_again:
-            return RunResult(StreamEnd.LOST, job.reason)
-        return RunResult(StreamEnd.FAILED, job.reason)
+            return AttemptResult(AttemptEnd.LOST, job.reason)
+        return AttemptResult(AttemptEnd.FAILED, job.reason)
--- a/packages/relay/src/lacewingcourse/relay/stream_state.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_state.py
@@ -19,7 +19,7 @@
     from lacewingcourse.relay.upstream import Exchange, Head
 
 
-class StreamEnd(Enum):
+class AttemptEnd(Enum):
     """How one run of a stream ended."""
 
     WHOLE = "whole"
@@ -52,7 +52,7 @@
     exchange: Exchange
     began_at: float
     head: Head | None = None
-    failure: RunResult | None = None
+    failure: AttemptResult | None = None
 
 
 @attrs.frozen
@@ -73,7 +73,7 @@
 
 
 @attrs.frozen
-class RunResult:
+class AttemptResult:
     """What became of one run of a stream.
 
     Attributes:
@@ -85,7 +85,7 @@
         replacement: What the stream goes on with, None if that is still to be found.
     """
 
-    end: StreamEnd
+    end: AttemptEnd
     reason: str = ""
     fault_address: str = ""
     misdirected: bool = False
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -25,9 +25,9 @@
 from lacewingcourse.relay.sending import Sender
 from lacewingcourse.relay.stream_run import StreamRun
 from lacewingcourse.relay.stream_state import (
+    AttemptEnd,
+    AttemptResult,
     Replacement,
-    RunResult,
-    StreamEnd,
     StreamState,
 )
 from lacewingcourse.relay.upstream import SendOutcome
@@ -84,7 +84,7 @@
         try:
             return await self._serve(state)
         finally:
-            self.sender.drop_holds(job)
+            self.sender.release_holds(job)
 
     async def _serve(self, state: StreamState) -> Refusal | None:
         """Run a stream until it is whole or cannot go on."""
@@ -104,23 +104,23 @@
             if result is None:
                 self.unreachable(job, path)
                 continue
-            if result.end in (StreamEnd.WHOLE, StreamEnd.ABANDONED):
+            if result.end in (AttemptEnd.WHOLE, AttemptEnd.ABANDONED):
                 return None
-            if result.end is StreamEnd.NOT_TAKEN:
+            if result.end is AttemptEnd.NOT_TAKEN:
                 return self._give_up(state, ErrorKind.DRAINING, result.reason)
-            if result.end is StreamEnd.HELD:
+            if result.end is AttemptEnd.HELD:
                 if not job.caller.begun or job.caller.gone:
                     return self._give_up(state, ErrorKind.OVERLOADED, result.reason)
                 await asyncio.sleep(RETRY_PERIOD)
                 continue
-            if result.end in (StreamEnd.NO_RETRY, StreamEnd.LIMITED):
+            if result.end in (AttemptEnd.NO_RETRY, AttemptEnd.LIMITED):
                 continue
-            self.learn(job, path, result)
+            self.record_failure(job, path, result)
             if replacement is not None and replacement.standby is not None:
                 continue
-            if result.end is StreamEnd.OVERDUE:
+            if result.end is AttemptEnd.OVERDUE:
                 return self._give_up(state, ErrorKind.DEADLINE_EXCEEDED, result.reason)
-            if result.end is StreamEnd.FAILED or not job.may_send_again:
+            if result.end is AttemptEnd.FAILED or not job.may_send_again:
                 return self._give_up(state, self._kind(result), "no attempt is left")
 
     async def _wait_for_path(self, state: StreamState) -> Path | Refusal:
@@ -151,7 +151,7 @@
         limits.release(job)
         found = self.finder.find(job, state.shape, state.demand, besides)
         if isinstance(found, Refusal):
-            self.sender.drop_holds(job)
+            self.sender.release_holds(job)
         else:
             limits.hold(found.first.endpoint, job, self.sender.clock())
         return found
@@ -177,7 +177,7 @@
 
     async def _run(
         self, state: StreamState, path: Path, replacement: Replacement | None
-    ) -> RunResult | None:
+    ) -> AttemptResult | None:
         """Run a stream on a path; None if the request never left this process.
 
         Args:
@@ -191,25 +191,25 @@
         try:
             fresh = not job.route.retry_safety.may_retry
             result = await self._relay(state, fresh, replacement)
-            if result is None or result.end is not StreamEnd.DROPPED:
+            if result is None or result.end is not AttemptEnd.DROPPED:
                 return result
             # Endpoints drop kept connections without notice. Taken for a lost run, each
             # of these would use up an attempt of the route and a retry.
             job.sends -= 1
-            self.sender.pool.drop(path.first.address)
+            self.sender.pool.close_idle(path.first.address)
             again = await self._relay(state, fresh=True)
             if again is None:
                 # The endpoint is gone, perhaps under this request.
                 job.sends += 1
                 self.unreachable(job, path)
-                return RunResult(StreamEnd.LOST, result.reason, first_lost=True)
+                return AttemptResult(AttemptEnd.LOST, result.reason, first_lost=True)
             return again
         finally:
             self.beliefs.loads.end(path, state.demand.tokens)
 
     async def _relay(
         self, state: StreamState, fresh: bool, replacement: Replacement | None = None
-    ) -> RunResult | None:
+    ) -> AttemptResult | None:
         """Send a stream on its path and pass on what comes; None if it never left.
 
         Args:
@@ -241,7 +241,7 @@
 
     async def _pass_on(
         self, state: StreamState, sent: Exchange, head: Head | None
-    ) -> RunResult:
+    ) -> AttemptResult:
         """Pass on what arrives of a run that was sent.
 
         Args:
@@ -285,7 +285,7 @@
         self.beliefs.suspects.suspect(endpoint, reason, self.sender.clock())
         job.avoid.add(endpoint)
 
-    def _unsent(self, sent: NotSent) -> RunResult | None:
+    def _unsent(self, sent: NotSent) -> AttemptResult | None:
         """Return what a request amounts to that was not sent; None to try elsewhere.
 
         A time that is over, or a lack of this entry, says nothing of the endpoint: left
@@ -293,18 +293,18 @@
         others.
         """
         if sent.cause is Unsent.OVERDUE:
-            return RunResult(StreamEnd.OVERDUE, sent.reason)
+            return AttemptResult(AttemptEnd.OVERDUE, sent.reason)
         if sent.cause is Unsent.NO_DESCRIPTOR:
-            return RunResult(StreamEnd.HELD, sent.reason)
+            return AttemptResult(AttemptEnd.HELD, sent.reason)
         if sent.cause is Unsent.LEAVING:
-            return RunResult(StreamEnd.NOT_TAKEN, sent.reason)
+            return AttemptResult(AttemptEnd.NOT_TAKEN, sent.reason)
         if sent.cause is Unsent.NO_RETRY:
-            return RunResult(StreamEnd.NO_RETRY, sent.reason)
+            return AttemptResult(AttemptEnd.NO_RETRY, sent.reason)
         if sent.cause is Unsent.OVER_LIMIT:
-            return RunResult(StreamEnd.LIMITED, sent.reason)
+            return AttemptResult(AttemptEnd.LIMITED, sent.reason)
         return None
 
-    def learn(self, job: Job, path: Path, result: RunResult) -> None:
+    def record_failure(self, job: Job, path: Path, result: AttemptResult) -> None:
         """Leave out what failed, for this request or for all."""
         now = self.sender.clock()
         at_fault = [p for p in path.parts if p.address == result.fault_address]
@@ -314,7 +314,7 @@
             job.avoid.add(endpoint)
             filled = self._filled(job, at_fault[0])
             if is_full(result.misdirected, filled):
-                self.stalls.ask(at_fault[0], now)
+                self.stalls.probe(at_fault[0], now)
             else:
                 self.beliefs.suspects.suspect(endpoint, result.reason, now)
                 # Its word reaches the others in a round of news; until then each of
@@ -323,7 +323,7 @@
         elif result.first_lost:
             job.avoid.add(path.first.endpoint)
             self.beliefs.crashes.strike(job.fingerprint, path.first.endpoint, now)
-        elif result.end is StreamEnd.STALLED:
+        elif result.end is AttemptEnd.STALLED:
             if not path.uses(job.avoid):
                 job.avoid.update(part.endpoint for part in path.parts)
         else:
@@ -338,8 +338,8 @@
             return 0.0
         return self.beliefs.chooser(shape).filled(part)
 
-    def _kind(self, result: RunResult) -> ErrorKind:
-        if result.end is StreamEnd.REJECTED:
+    def _kind(self, result: AttemptResult) -> ErrorKind:
+        if result.end is AttemptEnd.REJECTED:
             return ErrorKind.OVERLOADED
         return ErrorKind.STAGE_LOST
 
--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -84,7 +84,7 @@
         answer = other.news_for(one.name, one.book.zone)
         one.take(decode(encode(answer), PeerNews))
 
-    def rounds(self, count: int) -> None:
+    def run_rounds(self, count: int) -> None:
         """Let all entries speak for some rounds."""
         for _ in range(count):
             self.clock.now += PERIOD
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/restarts.py
@@ -26,7 +26,7 @@
 from lacewingcourse.relay.readiness import Readiness
 
 from .routes import route_of
-from .stream_play import CallerStub, Decisions
+from .stream_scenario import CallerStub, RecordingLog
 
 #: Seconds in which an entry must have ended.
 GRACE = 8.0
@@ -186,7 +186,7 @@
             SimpleNamespace(budget=SimpleNamespace(on_request=lambda *args: None)),
             SimpleNamespace(serve=write_events),
             readiness,
-            Decisions(),
+            RecordingLog(),
             self.clock,
             lambda: endings.ready_in(),
             Random(self.rng.random()),
@@ -205,7 +205,7 @@
             follower,
             SimpleNamespace(lease=None, released=0, hear=lambda *news: None),
             readiness,
-            Decisions(),
+            RecordingLog(),
             self.clock,
             endings.ends_in,
         )
--- a/packages/relay/tests/relay/stream_play.py
+++ b/packages/relay/tests/relay/stream_scenario.py
@@ -41,8 +41,8 @@
 #: Seconds between two of them.
 STEP = 0.05
 #: A budget that allows retries without end, and one that allows none.
-PLENTY = 10_000.0
-NONE = 0.0
+UNLIMITED_RETRIES = 10_000.0
+NO_RETRIES = 0.0
 
 
 def event(number: int) -> bytes:
@@ -159,7 +159,7 @@
         self.ended = self.broken = True
 
 
-class Decisions:
+class RecordingLog:
     """Keeps the events that are logged."""
 
     def __init__(self) -> None:
@@ -173,7 +173,7 @@
 
 
 @attrs.define(slots=False)
-class StreamPlay:
+class StreamScenario:
     """A stream through endpoints a and b; c and d hold the same layers.
 
     Attributes:
@@ -189,8 +189,8 @@
 
     shape: EngineShape
     engines: dict[str, Engine]
-    slack: float = PLENTY
-    room_from: float = 0.0
+    slack: float = UNLIMITED_RETRIES
+    room_available_at: float = 0.0
     lacks_descriptors: tuple[float, float] = (0.0, 0.0)
     retry_safety: RetrySafety = RetrySafety.RESUMABLE_STREAM
     attempts: int = 2
@@ -201,7 +201,7 @@
         self.caller = CallerStub()
         self.ended_at = 0.0
         self.pool = ConnectionPool()
-        self.log = Decisions()
+        self.log = RecordingLog()
         self.budget = RetryBudget(0.0, 10.0, self.slack)
         self.beliefs = Beliefs()
         service = SimpleNamespace(shape=self.shape)
@@ -248,7 +248,7 @@
         self.ended_at = self.clock()
         return ended
 
-    def dies(self, *names: str):
+    def declare_dead(self, *names: str):
         """Return what tells a watcher that endpoints are dead."""
         return lambda watcher: watcher._dead(set(names), "no report")
 
@@ -271,7 +271,7 @@
         second = path_of("c", "d")
         if second.uses(avoided):
             return Refusal(ErrorKind.NO_ROUTE, "no path holds every layer")
-        if self.clock() < self.room_from:
+        if self.clock() < self.room_available_at:
             return Refusal(ErrorKind.OVERLOADED, "no path has memory")
         return second
 
@@ -313,8 +313,8 @@
         return await Sender.send(self, job, sending, fresh, reserved)
 
     #: What a send needs is decided as it really is.
-    drop_holds = Sender.drop_holds
-    _cause_unsent = Sender._cause_unsent
+    release_holds = Sender.release_holds
+    _claim_send = Sender._claim_send
 
     @property
     def limits(self) -> SendLimits:
--- a/packages/relay/tests/relay/test_caller.py
+++ b/packages/relay/tests/relay/test_caller.py
@@ -437,7 +437,7 @@
     closed = []
     stream = SimpleNamespace(clean=False, close=lambda: closed.append(True))
     pool = ConnectionPool()
-    pool.give_back(Connection(stream, "a:1"), keep_alive=10.0, now=0.0)
+    pool.release(Connection(stream, "a:1"), keep_alive=10.0, now=0.0)
     assert closed == [True]
     assert "a:1" not in pool.idle
 
--- a/packages/relay/tests/relay/test_calls.py
+++ b/packages/relay/tests/relay/test_calls.py
@@ -38,7 +38,7 @@
 )
 
 from .routes import route_of
-from .stream_play import NONE, PLENTY, Decisions
+from .stream_scenario import NO_RETRIES, UNLIMITED_RETRIES, RecordingLog
 from .virtual_time import play
 
 #: Seconds that a slow endpoint takes, and a quick one.
@@ -87,7 +87,7 @@
         slow: Seconds that the first endpoint takes.
     """
 
-    slack: float = PLENTY
+    slack: float = UNLIMITED_RETRIES
     endpoints: int = 2
     status: int = 200
     retry_safety: RetrySafety = RetrySafety.IDEMPOTENT
@@ -117,7 +117,7 @@
             self.budget,
             "east",
             Random(1),
-            Decisions(),
+            RecordingLog(),
         )
         return await forwarder.serve(self._job())
 
@@ -142,8 +142,8 @@
         return await Sender.send(self, job, sending, fresh)
 
     #: What a send needs is decided as it really is.
-    drop_holds = Sender.drop_holds
-    _cause_unsent = Sender._cause_unsent
+    release_holds = Sender.release_holds
+    _claim_send = Sender._claim_send
 
     @property
     def limits(self) -> SendLimits:
@@ -160,7 +160,7 @@
         """Keep nothing."""
 
 
-@pytest.mark.parametrize("lacks", [{"slack": NONE}, {"endpoints": 1}])
+@pytest.mark.parametrize("lacks", [{"slack": NO_RETRIES}, {"endpoints": 1}])
 def test_a_slow_endpoint_is_waited_for_where_nothing_replaces_it(lacks):
     played = CallPlay(**lacks)
     answer = play(played.serve())
@@ -184,7 +184,9 @@
 @pytest.mark.parametrize("retry_safety", [RetrySafety.IDEMPOTENT, RetrySafety.ONCE])
 def test_a_call_is_answered_although_kept_connections_were_dropped(retry_safety):
     """Its callers got 502 although the endpoint lived."""
-    played = CallPlay(slack=NONE, endpoints=1, drops=True, retry_safety=retry_safety)
+    played = CallPlay(
+        slack=NO_RETRIES, endpoints=1, drops=True, retry_safety=retry_safety
+    )
     assert isinstance(play(played.serve()), WholeAnswer)
 
 
@@ -206,7 +208,7 @@
 
 def test_a_call_that_no_endpoint_ran_is_refused_as_such():
     """Its caller was told that it may have run, and not when to come back."""
-    ended = play(CallPlay(slack=NONE, status=REJECTED).serve())
+    ended = play(CallPlay(slack=NO_RETRIES, status=REJECTED).serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
     assert ended.outcome is Outcome.NOT_RUN
     assert ended.retry_after is not None
--- a/packages/relay/tests/relay/test_large_duty.py
+++ b/packages/relay/tests/relay/test_large_duty.py
@@ -66,7 +66,7 @@
 
     since = looked = network.clock.now
     while network.clock.now < since + seconds:
-        network.rounds(1)
+        network.run_rounds(1)
         if network.clock.now - looked >= PERIOD:
             looked = network.clock.now
             asyncio.run(look())
--- a/packages/relay/tests/relay/test_last_requests.py
+++ b/packages/relay/tests/relay/test_last_requests.py
@@ -32,7 +32,7 @@
 from lacewingcourse.relay.settings import RelaySettings
 
 from .routes import route_of
-from .stream_play import CallerStub, Decisions
+from .stream_scenario import CallerStub, RecordingLog
 from .virtual_time import play
 
 if TYPE_CHECKING:
@@ -175,7 +175,7 @@
             calls,
             streams,
             readiness,
-            Decisions(),
+            RecordingLog(),
             clock,
             lambda: 0.0,
             Random(1),
--- a/packages/relay/tests/relay/test_limit_permits.py
+++ b/packages/relay/tests/relay/test_limit_permits.py
@@ -19,7 +19,7 @@
 )
 from lacewingcourse.relay.small_server import Question
 
-from .stream_play import Decisions
+from .stream_scenario import RecordingLog
 from .virtual_time import play
 
 NAMES = ["e0", "e1", "e2"]
@@ -55,7 +55,7 @@
             self.fetch,
             asyncio.get_running_loop().time,
             Random(1),
-            Decisions(),
+            RecordingLog(),
             self.count_unreadable,
         )
         limits.on_want = exchange.check
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -17,12 +17,12 @@
 from lacewingcourse.core.pipelines.admission_queue import RETRY_AFTER_ANSWERS
 from lacewingcourse.core.pipelines.routing import RetrySafety
 
-from .stream_play import (
+from .stream_scenario import (
     EVENTS,
-    NONE,
-    PLENTY,
+    NO_RETRIES,
+    UNLIMITED_RETRIES,
     Engine,
-    StreamPlay,
+    StreamScenario,
     whole_answer,
 )
 from .virtual_time import play
@@ -37,15 +37,15 @@
 def stream(shape):
     """Return a function that makes a play of one stream."""
 
-    def make(engine, **options) -> StreamPlay:
-        return StreamPlay(shape, {"a": engine}, **options)
+    def make(engine, **options) -> StreamScenario:
+        return StreamScenario(shape, {"a": engine}, **options)
 
     return make
 
 
 def test_a_run_stays_open_where_no_retry_is_left(stream):
-    played = stream(SHORT_PAUSE, slack=NONE)
-    ended = play(played.serve((IN_PAUSE, played.dies("b"))))
+    played = stream(SHORT_PAUSE, slack=NO_RETRIES)
+    ended = play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert ended is None
     assert played.caller.whole
     assert played.caller.body == whole_answer()
@@ -54,14 +54,14 @@
 
 def test_a_run_stays_open_where_no_other_path_has_room(stream):
     """Room was waited for with the run closed already, until the caller left."""
-    played = stream(SHORT_PAUSE, room_from=100.0)
-    ended = play(played.serve((IN_PAUSE, played.dies("b"))))
+    played = stream(SHORT_PAUSE, room_available_at=100.0)
+    ended = play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert ended is None
     assert played.caller.body == whole_answer()
     assert played.firsts == ["a"]
 
 
-@pytest.mark.parametrize("lacks", [{"slack": NONE}, {"room_from": 100.0}])
+@pytest.mark.parametrize("lacks", [{"slack": NO_RETRIES}, {"room_available_at": 100.0}])
 def test_silence_alone_ends_no_run_that_nothing_replaces(stream, lacks):
     played = stream(Engine(pause_after=5, pause=1.9), **lacks)
     ended = play(played.serve())
@@ -70,8 +70,8 @@
 
 
 def test_a_stream_goes_on_elsewhere_as_soon_as_that_is_possible(stream):
-    played = stream(Engine(pause_after=5, pause=30.0), room_from=1.0)
-    ended = play(played.serve((IN_PAUSE, played.dies("b"))))
+    played = stream(Engine(pause_after=5, pause=30.0), room_available_at=1.0)
+    ended = play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert ended is None
     assert played.caller.body == whole_answer()
     assert played.firsts == ["a", "c"]
@@ -81,9 +81,11 @@
 
 
 def test_a_stream_goes_on_once_a_repeat_is_allowed_again(stream):
-    played = stream(Engine(pause_after=5, pause=30.0), slack=NONE)
+    played = stream(Engine(pause_after=5, pause=30.0), slack=NO_RETRIES)
     ended = play(
-        played.serve((IN_PAUSE, played.dies("b")), (1.0, played.allow(PLENTY)))
+        played.serve(
+            (IN_PAUSE, played.declare_dead("b")), (1.0, played.allow(UNLIMITED_RETRIES))
+        )
     )
     assert ended is None
     assert played.caller.body == whole_answer()
@@ -92,8 +94,8 @@
 
 def test_an_answer_whose_engine_ended_it_waits_for_a_retry(stream):
     """It was given up at once, while its caller would have read on for two seconds."""
-    played = stream(Engine(pause_after=5, breaks=True), slack=NONE)
-    ended = play(played.serve((1.0, played.allow(PLENTY))))
+    played = stream(Engine(pause_after=5, breaks=True), slack=NO_RETRIES)
+    ended = play(played.serve((1.0, played.allow(UNLIMITED_RETRIES))))
     assert ended is None
     assert played.caller.body == whole_answer()
     assert played.firsts == ["a", "c"]
@@ -101,13 +103,13 @@
 
 def test_a_run_that_goes_on_after_all_is_watched_again(stream):
     """Taken for dead a second time, it moves, now that a retry is left."""
-    played = stream(Engine(pause_after=5, pause=0.4, stops_after=8), slack=NONE)
+    played = stream(Engine(pause_after=5, pause=0.4, stops_after=8), slack=NO_RETRIES)
     dies_again = 1.1
     ended = play(
         played.serve(
-            (IN_PAUSE, played.dies("b")),
-            (dies_again, played.allow(PLENTY)),
-            (dies_again, played.dies("b")),
+            (IN_PAUSE, played.declare_dead("b")),
+            (dies_again, played.allow(UNLIMITED_RETRIES)),
+            (dies_again, played.declare_dead("b")),
         )
     )
     assert ended is None
@@ -119,9 +121,9 @@
 def test_an_engine_that_ends_a_run_which_stood_still_is_not_taken_for_crashed(stream):
     """It ends what depends on a dead part; the request would be refused for good."""
     played = stream(
-        Engine(pause_after=5, pause=1.0, breaks=True), room_from=IN_PAUSE + 1.5
+        Engine(pause_after=5, pause=1.0, breaks=True), room_available_at=IN_PAUSE + 1.5
     )
-    ended = play(played.serve((IN_PAUSE, played.dies("b"))))
+    ended = play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert ended is None
     assert played.caller.body == whole_answer()
     assert played.beliefs.crashes.losses(played.ended_at) == {}
@@ -129,7 +131,7 @@
 
 def test_a_request_that_no_engine_ran_is_refused_as_such(stream):
     """Its caller was told that it may have run, and not when to come back."""
-    played = stream(Engine(status=503), slack=NONE)
+    played = stream(Engine(status=503), slack=NO_RETRIES)
     ended = play(played.serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
     assert ended.outcome is Outcome.NOT_RUN
@@ -144,7 +146,7 @@
     second it is in time, but it was asked back when one to two and a half answers had
     passed, and was late whatever it met.
     """
-    played = stream(Engine(status=503), slack=NONE)
+    played = stream(Engine(status=503), slack=NO_RETRIES)
     ended = play(played.serve())
     assert ended.outcome is Outcome.NOT_RUN
     assert played.ended_at <= 0.05
@@ -153,8 +155,8 @@
 
 def test_a_request_that_may_have_run_waits_for_a_retry(stream):
     """Its caller cannot be told that it has not run, and would not ask again."""
-    played = stream(Engine(breaks=True, pause_after=0), slack=NONE)
-    play(played.serve((0.1, played.allow(PLENTY))))
+    played = stream(Engine(breaks=True, pause_after=0), slack=NO_RETRIES)
+    play(played.serve((0.1, played.allow(UNLIMITED_RETRIES))))
     assert played.firsts == ["a", "c"]
     assert played.caller.body == whole_answer()
 
@@ -182,7 +184,7 @@
 def test_a_dropped_connection_takes_no_attempt_and_no_retry(stream, retry_safety):
     """Streams were given up, within milliseconds, though their engines lived."""
     played = stream(
-        Engine(drops=True), slack=NONE, attempts=1, retry_safety=retry_safety
+        Engine(drops=True), slack=NO_RETRIES, attempts=1, retry_safety=retry_safety
     )
     assert play(played.serve()) is None
     assert played.caller.body == whole_answer()
--- a/packages/relay/tests/relay/test_news_age.py
+++ b/packages/relay/tests/relay/test_news_age.py
@@ -47,7 +47,7 @@
 def test_news_that_were_long_on_their_way_tell_what_was_the_newest_before(
     network, delay
 ):
-    network.rounds(2)
+    network.run_rounds(2)
     teller = network.entries[TELLER]
     network.clock.now += PERIOD
     teller.configuration.freshness.confirm(network.clock())
@@ -66,7 +66,7 @@
 
 
 def test_a_limit_that_was_long_on_its_way_does_not_replace_a_newer_one(network):
-    network.rounds(2)
+    network.run_rounds(2)
     teller, told = network.entries[TELLER], network.entries[TOLD]
     now = network.clock()
     teller.beliefs.limits.observe("x", 9.0, now - 0.01, now)
@@ -80,7 +80,7 @@
 
 
 def test_an_entry_that_fell_silent_is_not_taken_for_alive_by_late_news(network):
-    network.rounds(2)
+    network.run_rounds(2)
     teller = network.entries[TELLER]
     now = network.clock()
     teller.book.hear("a-02", "a-02", False, now, "a")
--- a/packages/relay/tests/relay/test_retries_at_once.py
+++ b/packages/relay/tests/relay/test_retries_at_once.py
@@ -16,7 +16,13 @@
 from lacewingcourse.relay.connections import NotSent, Unsent
 from lacewingcourse.relay.sending import WholeAnswer
 
-from .stream_play import PLENTY, STEP, Engine, StreamPlay, whole_answer
+from .stream_scenario import (
+    STEP,
+    UNLIMITED_RETRIES,
+    Engine,
+    StreamScenario,
+    whole_answer,
+)
 from .test_calls import QUICK, REJECTED, CallPlay
 from .virtual_time import play
 
@@ -40,7 +46,7 @@
 
 
 @attrs.define(slots=False)
-class CutStream(StreamPlay):
+class CutStream(StreamScenario):
     """A stream whose connections take a while.
 
     Attributes:
@@ -128,7 +134,7 @@
 @pytest.mark.parametrize("alone", [False, True])
 def test_streams_moved_at_one_moment_stay_within_the_budget(streams, budget, alone):
     made = streams(PAUSES, alone=alone)
-    serve(made, (DEAD_AT, made[0].dies("b")))
+    serve(made, (DEAD_AT, made[0].declare_dead("b")))
     assert retries_of(made) == LEFT
     assert len(budget.retries["rooms"]) == LEFT
     assert all(played.caller.body == whole_answer() for played in made)
@@ -160,7 +166,7 @@
 ):
     lost = streams(engine, unreachable=True)
     made = streams(engine, LEFT)
-    serve(lost + made, (DEAD_AT, made[0].dies("b")))
+    serve(lost + made, (DEAD_AT, made[0].declare_dead("b")))
     assert retries_of(lost) == 0
     assert retries_of(made) == LEFT
 
@@ -171,7 +177,7 @@
 ):
     going_on = streams(PAUSES, LEFT, unreachable=unreachable)
     broken = streams(Engine(pause_after=15, breaks=True), LEFT)
-    just_before = going_on[0].dies("b")
+    just_before = going_on[0].declare_dead("b")
     serve(going_on + broken, (GOES_ON_AT - CONNECTING / 2, just_before))
     assert retries_of(going_on) == 0
     assert [played.firsts for played in broken] == [["a", "c"]] * LEFT
@@ -219,7 +225,7 @@
 def test_a_stream_whose_loan_ends_while_it_connects_waits_for_a_retry(streams, loan):
     (played,) = streams(BREAKS, 1)
     played.budget = loan(BREAKS_AT + CONNECTING / 2)
-    serve([played], (DEAD_AT, played.allow(PLENTY)))
+    serve([played], (DEAD_AT, played.allow(UNLIMITED_RETRIES)))
     assert played.firsts == ["a", "c"]
     assert played.runs[1][0] > DEAD_AT
     assert played.caller.body == whole_answer()
@@ -231,7 +237,7 @@
 ):
     (played,) = streams(PAUSES, 1, alone=alone)
     played.budget = loan(DEAD_AT + CONNECTING / 2)
-    serve([played], (DEAD_AT, played.dies("b")))
+    serve([played], (DEAD_AT, played.declare_dead("b")))
     assert played.firsts == ["a"]
     assert played.caller.body == whole_answer()
 
--- a/packages/relay/tests/relay/test_retry_loans.py
+++ b/packages/relay/tests/relay/test_retry_loans.py
@@ -29,7 +29,7 @@
 from lacewingcourse.relay.retry_loans import LOAN_PATH, RetryLoans
 from lacewingcourse.relay.small_server import Question
 
-from .stream_play import Decisions
+from .stream_scenario import RecordingLog
 from .virtual_time import play
 
 #: Seconds in which retries are counted, and those that are allowed besides a share.
@@ -72,7 +72,7 @@
                 self.fetch,
                 clock,
                 self.rng,
-                Decisions(),
+                RecordingLog(),
                 lambda: None,
             )
             if ask_for is not None:
--- a/packages/relay/tests/relay/test_secured.py
+++ b/packages/relay/tests/relay/test_secured.py
@@ -19,7 +19,14 @@
 from lacewingcourse.relay.ports import AnswerHead, Standing
 from lacewingcourse.relay.upstream import End
 
-from .stream_play import NONE, PLENTY, Engine, Run, StreamPlay, whole_answer
+from .stream_scenario import (
+    NO_RETRIES,
+    UNLIMITED_RETRIES,
+    Engine,
+    Run,
+    StreamScenario,
+    whole_answer,
+)
 from .virtual_time import play
 
 SHORT_PAUSE = Engine(pause_after=5, pause=0.4)
@@ -29,7 +36,7 @@
 
 
 @attrs.define(slots=False)
-class Unreachable(StreamPlay):
+class Unreachable(StreamScenario):
     """Connections to some first parts cannot be made; each try takes 0.35 s."""
 
     gone: tuple[str, ...] = ()
@@ -43,15 +50,15 @@
 
 def test_a_run_is_not_closed_for_a_first_part_that_cannot_be_reached(shape):
     played = Unreachable(shape, {"a": SHORT_PAUSE}, slack=ONE, gone=("c",))
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert played.caller.body == whole_answer()
 
 
 def test_a_run_is_not_closed_for_an_engine_that_then_rejects(shape):
     """The engine of the next path has no room, which only its answer tells."""
     engines = {"a": SHORT_PAUSE, "c": Engine(status=503)}
-    played = StreamPlay(shape, engines, slack=ONE)
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    played = StreamScenario(shape, engines, slack=ONE)
+    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert played.caller.body == whole_answer()
 
 
@@ -60,13 +67,13 @@
 
 def test_a_run_is_closed_once_the_next_one_was_accepted(shape):
     engines = {"a": Engine(stops_after=5), "c": SLOW}
-    played = StreamPlay(shape, engines)
+    played = StreamScenario(shape, engines)
     first = []
 
     def look(watcher) -> None:
         first.extend(run.abandoned for _, _, run in played.runs)
 
-    play(played.serve((IN_PAUSE, played.dies("b")), (IN_PAUSE + 0.2, look)))
+    play(played.serve((IN_PAUSE, played.declare_dead("b")), (IN_PAUSE + 0.2, look)))
     assert first == [False, False]
     assert [run.abandoned for _, _, run in played.runs] == [True, False]
     assert played.caller.body == whole_answer()
@@ -74,48 +81,48 @@
 
 def test_a_run_that_goes_on_before_the_next_one_was_accepted_is_kept(shape):
     engines = {"a": SHORT_PAUSE, "c": SLOW}
-    played = StreamPlay(shape, engines)
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    played = StreamScenario(shape, engines)
+    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert [run.abandoned for _, _, run in played.runs] == [False, True]
     assert played.caller.body == whole_answer()
 
 
 def test_an_engine_that_ends_its_run_leaves_the_one_begun_beside_it(shape):
     engines = {"a": Engine(pause_after=5, pause=0.3, breaks=True), "c": SLOW}
-    played = StreamPlay(shape, engines)
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    played = StreamScenario(shape, engines)
+    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert played.firsts == ["a", "c"]
     assert played.caller.body == whole_answer()
 
 
 def test_an_engine_that_drops_the_next_run_costs_no_attempt(shape):
     engines = {"a": Engine(stops_after=5), "c": Engine(drops=True)}
-    played = StreamPlay(shape, engines)
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    played = StreamScenario(shape, engines)
+    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert played.caller.body == whole_answer()
     assert played.job.sends == 2
 
 
 def test_a_caller_that_leaves_ends_both_runs(shape):
-    played = StreamPlay(shape, {"a": Engine(stops_after=5), "c": SLOW})
+    played = StreamScenario(shape, {"a": Engine(stops_after=5), "c": SLOW})
 
     def leave(watcher) -> None:
         played.caller.gone = True
         played.job.caller_gone()
 
-    play(played.serve((IN_PAUSE, played.dies("b")), (IN_PAUSE + 0.1, leave)))
+    play(played.serve((IN_PAUSE, played.declare_dead("b")), (IN_PAUSE + 0.1, leave)))
     assert [run.abandoned for _, _, run in played.runs] == [True, True]
 
 
 @pytest.mark.parametrize("engine", [SLOW, Engine(status=503), Engine(drops=True)])
 def test_what_runs_beside_one_another_leaves_no_load(shape, engine):
-    played = StreamPlay(shape, {"a": SHORT_PAUSE, "c": engine})
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    played = StreamScenario(shape, {"a": SHORT_PAUSE, "c": engine})
+    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert played.beliefs.loads.own == {}
 
 
 @attrs.define(slots=False)
-class Narrow(StreamPlay):
+class Narrow(StreamScenario):
     """Endpoints whose memory holds one run of the stream."""
 
     def _find(self, job, shape, demand, besides=()):
@@ -127,7 +134,7 @@
 
 def test_a_run_gives_way_to_one_that_has_no_room_beside_it(shape):
     played = Narrow(shape, {"a": Engine(stops_after=5), "c": SLOW})
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     (_, _, first), (begun_at, _, _) = played.runs
     assert first.abandoned
     assert begun_at < IN_PAUSE + 0.1
@@ -136,7 +143,10 @@
 
 def test_a_send_that_never_left_takes_no_retry(shape):
     played = Unreachable(
-        shape, {"a": Engine(pause_after=5, breaks=True)}, slack=PLENTY, gone=("c",)
+        shape,
+        {"a": Engine(pause_after=5, breaks=True)},
+        slack=UNLIMITED_RETRIES,
+        gone=("c",),
     )
     play(played.serve())
     assert len(played.budget.retries.get("rooms", ())) == 0
@@ -144,21 +154,21 @@
 
 def test_waiting_for_a_descriptor_takes_no_repeats(shape):
     engine = Engine(pause_after=5, breaks=True)
-    played = StreamPlay(shape, {"a": engine}, lacks_descriptors=(0.1, 1.0))
+    played = StreamScenario(shape, {"a": engine}, lacks_descriptors=(0.1, 1.0))
     play(played.serve())
     assert len(played.budget.retries["rooms"]) == 1
 
 
 def test_waiting_for_a_descriptor_ends_with_the_time_of_the_route(shape):
     engine = Engine(pause_after=5, breaks=True)
-    played = StreamPlay(shape, {"a": engine}, lacks_descriptors=(0.1, 60.0))
+    played = StreamScenario(shape, {"a": engine}, lacks_descriptors=(0.1, 60.0))
     play(played.serve())
     assert played.ended_at <= 20.1
 
 
 def test_waiting_for_a_descriptor_ends_when_the_caller_has_left(shape):
     engine = Engine(pause_after=5, breaks=True)
-    played = StreamPlay(shape, {"a": engine}, lacks_descriptors=(0.1, 10.0))
+    played = StreamScenario(shape, {"a": engine}, lacks_descriptors=(0.1, 10.0))
 
     def leave(watcher) -> None:
         played.caller.gone = True
@@ -168,7 +178,7 @@
 
 
 @attrs.define(slots=False)
-class Failing(StreamPlay):
+class Failing(StreamScenario):
     """Engines whose answers without success are their own, signed ones."""
 
     def _head(self, status, headers, request) -> AnswerHead:
@@ -177,7 +187,7 @@
 
 @pytest.mark.parametrize("status", [422, 500])
 def test_an_engines_own_answer_is_kept_until_another_may_be_asked(shape, status):
-    played = Failing(shape, {"a": Engine(status=status)}, slack=NONE)
+    played = Failing(shape, {"a": Engine(status=status)}, slack=NO_RETRIES)
     play(played.serve())
     assert played.caller.status == status
 
@@ -196,7 +206,7 @@
 
 
 @attrs.define(slots=False)
-class Held(StreamPlay):
+class Held(StreamScenario):
     """The first run stands still behind b and is ended without a head after a while."""
 
     async def send(self, request, sending, fresh, reserved=None):
@@ -209,8 +219,8 @@
 
 
 def test_a_run_that_stood_still_is_not_sent_again_on_the_path_of_a_dead_part(shape):
-    played = Held(shape, {"a": Engine()}, room_from=1.2)
-    play(played.serve((0.2, played.dies("b"))))
+    played = Held(shape, {"a": Engine()}, room_available_at=1.2)
+    play(played.serve((0.2, played.declare_dead("b"))))
     assert played.firsts.count("a") == 1
 
 
@@ -226,20 +236,20 @@
     shape,
 ):
     """Its events refute it; each such move took an attempt and a retry."""
-    played = StreamPlay(shape, {"a": Engine()})
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    played = StreamScenario(shape, {"a": Engine()})
+    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert played.firsts == ["a"]
 
 
 def test_an_answer_whose_events_flow_is_not_lost_to_a_move(shape):
     engines = {"a": Engine(), "c": Engine(status=503)}
-    played = StreamPlay(shape, engines, slack=ONE)
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    played = StreamScenario(shape, engines, slack=ONE)
+    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
     assert played.caller.body == whole_answer()
 
 
 @attrs.define(slots=False)
-class SlowToReach(StreamPlay):
+class SlowToReach(StreamScenario):
     """Connections take a while to be made."""
 
     async def reserve(self, address, fresh):
@@ -251,6 +261,6 @@
     """It ended what stood still behind a dead part, while a connection was made."""
     engine = Engine(pause_after=5, pause=0.2, breaks=True)
     played = SlowToReach(shape, {"a": engine})
-    play(played.serve((0.55, played.dies("b"))))
+    play(played.serve((0.55, played.declare_dead("b"))))
     assert played.caller.body == whole_answer()
     assert played.beliefs.crashes.losses(played.ended_at) == {}
--- a/packages/relay/tests/relay/test_sent_while_ending.py
+++ b/packages/relay/tests/relay/test_sent_while_ending.py
@@ -18,7 +18,7 @@
 from lacewingcourse.relay.readiness import Readiness
 from lacewingcourse.relay.sending import Sender, WholeAnswer
 
-from .stream_play import Engine, StreamPlay, path_of, whole_answer
+from .stream_scenario import Engine, StreamScenario, path_of, whole_answer
 from .test_calls import REJECTED, CallPlay
 from .test_last_requests import Caller
 from .test_leaving import BACK, Lines, entry_with
@@ -41,7 +41,7 @@
 
 
 @attrs.define(slots=False)
-class EndingStream(StreamPlay):
+class EndingStream(StreamScenario):
     """A stream whose entry is asked to end.
 
     Attributes:
@@ -58,7 +58,7 @@
         return takes_until_asked(super()._job(), self.asked)
 
     def _find(self, job, shape, demand, besides=()):
-        if self.is_full and self.clock() < self.room_from:
+        if self.is_full and self.clock() < self.room_available_at:
             return Refusal(ErrorKind.OVERLOADED, "no path has memory")
         return super()._find(job, shape, demand, besides)
 
@@ -85,7 +85,7 @@
 
 
 def test_a_request_waits_for_room_no_longer_than_an_ending_entry_takes_it(shape):
-    played = EndingStream(shape, {}, is_full=True, room_from=AFTER)
+    played = EndingStream(shape, {}, is_full=True, room_available_at=AFTER)
     ended = play(played.serve())
     assert played.firsts == []
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
@@ -121,7 +121,7 @@
 ):
     engines = {"a": Engine(accepts_after=1.0)}
     played = EndingStream(shape, engines, connecting=connecting, asked=asked)
-    play(played.serve((AFTER, played.dies("b"))))
+    play(played.serve((AFTER, played.declare_dead("b"))))
     assert played.firsts == ["a"]
     assert played.caller.body == whole_answer()
 
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -13,7 +13,11 @@
 from lacewingcourse.core.pipelines.suspects import Suspects
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.ports import EngineReport, StalledRequest, Unavailable
-from lacewingcourse.relay.stall_watcher import SECOND_QUESTION, TOGETHER, StallWatcher
+from lacewingcourse.relay.stall_watcher import (
+    SECOND_PROBE_DELAY,
+    TOGETHER,
+    StallWatcher,
+)
 from lacewingcourse.relay.upstream import Stalled
 
 from .network import Clock
@@ -153,7 +157,7 @@
     """The link was free again when the other endpoint was asked."""
     watcher = make_watcher(Unavailable("timed out"))
     job = make_job(path_of("a"))
-    later = 0.2 + SECOND_QUESTION + 2 * TOGETHER
+    later = 0.2 + SECOND_PROBE_DELAY + 2 * TOGETHER
     watcher.answered["c:1"] = later
     watched_until(watcher, job, 0.2)
     assert watcher.reports.asked == ["a:1"] * 3
@@ -229,7 +233,7 @@
 
     async def run():
         times = iter([0.0])
-        watcher.clock = lambda: next(times, SECOND_QUESTION)
+        watcher.clock = lambda: next(times, SECOND_PROBE_DELAY)
         for job in jobs:
             watcher.begin(job, -0.2)
             watcher.progress(job, -0.2)
--- a/packages/relay/tests/relay/test_streams.py
+++ b/packages/relay/tests/relay/test_streams.py
@@ -53,7 +53,7 @@
         self.asked: list[str] = []
         self.faults: list[tuple[str, float | None]] = []
 
-    def ask(self, part: Part, now: float) -> None:
+    def probe(self, part: Part, now: float) -> None:
         self.asked.append(part.endpoint)
 
     def lost(self, job, endpoint, reason, fault="", filled=None) -> None:
@@ -136,7 +136,7 @@
     def release(self, exchange, head) -> None:
         """Drop the connection."""
 
-    def drop_holds(self, job) -> None:
+    def release_holds(self, job) -> None:
         """Hold nothing."""
 
 
--- a/packages/relay/tests/relay/test_versions.py
+++ b/packages/relay/tests/relay/test_versions.py
@@ -18,8 +18,12 @@
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.path_finder import PathFinder
 from lacewingcourse.relay.ports import EngineReport
-from lacewingcourse.relay.stall_watcher import PERIOD, SECOND_QUESTION, StallWatcher
-from lacewingcourse.relay.streams import RunResult, StreamEnd, StreamForwarder
+from lacewingcourse.relay.stall_watcher import (
+    CHECK_PERIOD,
+    SECOND_PROBE_DELAY,
+    StallWatcher,
+)
+from lacewingcourse.relay.streams import AttemptEnd, AttemptResult, StreamForwarder
 
 #: Turns of the loop between the arrival of an answer and its being read.
 TURNS = 3
@@ -113,9 +117,9 @@
     forwarder = StreamForwarder(
         beliefs, nothing, sender, nothing, Random(1), nothing, nothing, nothing
     )
-    result = RunResult(StreamEnd.REJECTED, "rejected", path.parts[1].address)
+    result = AttemptResult(AttemptEnd.REJECTED, "rejected", path.parts[1].address)
     job = job_of()
-    forwarder.learn(job, path, result)
+    forwarder.record_failure(job, path, result)
     assert job.avoid == {path.parts[1].endpoint}
 
 
@@ -131,8 +135,8 @@
 
     async def report(self, address: str, patience: float) -> EngineReport:
         if self.stands and self.now == 0.0:
-            time.sleep(SECOND_QUESTION + PERIOD / 4)
-            self.now = SECOND_QUESTION + PERIOD / 2
+            time.sleep(SECOND_PROBE_DELAY + CHECK_PERIOD / 4)
+            self.now = SECOND_PROBE_DELAY + CHECK_PERIOD / 2
         for _ in range(TURNS):
             await asyncio.sleep(0)
         return EngineReport()
@@ -171,8 +175,8 @@
         job.current = SimpleNamespace(arrivals=asyncio.Queue())
         watcher.begin(job, -2.0)
         watcher.progress(job, -1.0)
-        watcher.ask(job.path.first, 0.0)
-        while watcher.asking:
+        watcher.probe(job.path.first, 0.0)
+        while watcher.probing:
             await asyncio.sleep(0)
         return job
 
