--- a/packages/relay/src/lacewingcourse/relay/moving.py
+++ b/packages/relay/src/lacewingcourse/relay/moving.py
@@ -40,18 +40,18 @@
     stalls: StallWatcher
     log: DecisionLog
 
-    def path_now(
-        self, state: StreamState, besides: Collection[str] = ()
+    def reserve_path(
+        self, state: StreamState, also_avoid: Collection[str] = ()
     ) -> Path | Refusal:
         """Return a path that a request may be sent on now, or why there is none."""
 
-    def refused_now(self, job: Job) -> Refusal | None:
+    def reserve_retry(self, job: Job) -> Refusal | None:
         """Hold the retry that a send needs; return why it may not be sent, if so."""
 
-    def note_send(self, job: Job, path: Path) -> None:
+    def record_send(self, job: Job, path: Path) -> None:
         """Note that a run was sent on a path."""
 
-    def unreachable(self, job: Job, path: Path) -> None:
+    def exclude_unreachable(self, job: Job, path: Path) -> None:
         """Leave out the first endpoint of a path, to which no connection was made."""
 
     def record_failure(self, job: Job, path: Path, result: AttemptResult) -> None:
@@ -82,7 +82,7 @@
         """The request."""
         return self.state.job
 
-    async def find(self) -> Replacement | Refusal:
+    async def find_replacement(self) -> Replacement | Refusal:
         """Return a path with a connection to it, or why there is none."""
         found = self._next_path()
         if isinstance(found, Refusal):
@@ -90,12 +90,12 @@
         path, has_room = found
         connection = await self.forwarder.sender.reserve(path.first.address, self.fresh)
         if isinstance(connection, NotSent):
-            self._drop_holds()
+            self._release_holds()
             if connection.cause is Unsent.UNREACHABLE:
-                self.forwarder.unreachable(self.job, path)
+                self.forwarder.exclude_unreachable(self.job, path)
             return Refusal(ErrorKind.NO_ROUTE, connection.reason)
         replacement = Replacement(path, connection, has_room)
-        refusal = self.forwarder.refused_now(self.job)
+        refusal = self.forwarder.reserve_retry(self.job)
         if refusal is not None:
             self.discard(replacement)
             return refusal
@@ -104,9 +104,9 @@
     def discard(self, found: Replacement) -> None:
         """Give back what a path that was found would have been used with."""
         found.connection.close()
-        self._drop_holds()
+        self._release_holds()
 
-    async def begin(self, found: Replacement) -> Standby | None:
+    async def start_standby(self, found: Replacement) -> Standby | None:
         """Begin a run on a path that was found; None if it was not sent."""
         forwarder, job, path = self.forwarder, self.job, found.path
         now = forwarder.sender.clock()
@@ -119,23 +119,23 @@
         if isinstance(sent, NotSent):
             return None
         forwarder.beliefs.loads.begin(path, self.state.demand.tokens)
-        forwarder.note_send(job, path)
+        forwarder.record_send(job, path)
         forwarder.stalls.end(job)
         forwarder.stalls.begin(job, now)
         return Standby(path, sent, now)
 
-    def end(self, standby: Standby) -> None:
+    def release_load(self, standby: Standby) -> None:
         """Note that a run has ended, or that its stream goes on with it."""
         self.forwarder.beliefs.loads.end(standby.path, self.state.demand.tokens)
 
-    def drop(self, standby: Standby) -> None:
+    def drop_standby(self, standby: Standby) -> None:
         """Close a run in whose place the other one goes on."""
         standby.exchange.abandon()
-        ran = self.forwarder.sender.clock() - standby.began_at
+        ran = self.forwarder.sender.clock() - standby.started_at
         self.forwarder.log.standby_dropped(self.job, ran)
-        self._keep_present(standby)
+        self._restore_current(standby)
 
-    def failed(self, standby: Standby) -> None:
+    def on_standby_failed(self, standby: Standby) -> None:
         """Learn from a run that its engine did not accept."""
         if standby.failure.end is AttemptEnd.DROPPED:
             # It takes no attempt; the next one goes over a new connection.
@@ -144,27 +144,27 @@
             self.forwarder.sender.pool.close_idle(standby.path.first.address)
         else:
             self.forwarder.record_failure(self.job, standby.path, standby.failure)
-        self._keep_present(standby)
+        self._restore_current(standby)
 
-    def _drop_holds(self) -> None:
+    def _release_holds(self) -> None:
         self.forwarder.sender.release_holds(self.job)
 
-    def _keep_present(self, standby: Standby) -> None:
-        self.end(standby)
+    def _restore_current(self, standby: Standby) -> None:
+        self.release_load(standby)
         self.forwarder.stalls.end(self.job)
         self.job.path = self.path
 
     def _next_path(self) -> tuple[Path, bool] | Refusal:
         """Return a path, and whether it has room beside the present run."""
         job, path, tokens = self.job, self.path, self.state.demand.tokens
-        besides = [] if path.uses(job.avoid) else [p.endpoint for p in path.parts]
-        found = self.forwarder.path_now(self.state, besides)
+        also_avoid = [] if path.uses(job.avoid) else [p.endpoint for p in path.parts]
+        found = self.forwarder.reserve_path(self.state, also_avoid)
         if not isinstance(found, Refusal):
             return found, True
         loads = self.forwarder.beliefs.loads
         loads.end(path, tokens)
         try:
-            found = self.forwarder.path_now(self.state, besides)
+            found = self.forwarder.reserve_path(self.state, also_avoid)
         finally:
             loads.begin(path, tokens)
         return found if isinstance(found, Refusal) else (found, False)
--- a/packages/relay/src/lacewingcourse/relay/stream_run.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_attempt.py
@@ -40,22 +40,22 @@
 #: another path. Callers leave after two seconds of silence. A shorter time sends
 #: streams away from paths that are only busy, and the prompts that are then read again
 #: make the others busier.
-SILENCE_PATIENCE = 1.5
+STALL_TIMEOUT = 1.5
 
 
 #: Seconds between two looks for a path for a run that stands still. Many do at once
 #: when an endpoint dies, and each look compares paths.
-MOVE_PERIOD = 0.05
+PATH_SEARCH_PERIOD = 0.05
 #: Seconds for which the body of an answer that is no stream is waited for.
-BODY_PATIENCE = 0.5
+ERROR_BODY_TIMEOUT = 0.5
 #: Why a run is closed in whose place another one goes on.
-STOOD_STILL = "the stream stood still"
+STALLED_REASON = "the stream stood still"
 #: Why a run is lost that ended in an event.
-CUT_EVENT = "cut event"
+TRUNCATED_EVENT_REASON = "cut event"
 
 
 @attrs.define
-class StreamRun:
+class StreamAttempt:
     """Passes on what arrives of a run.
 
     A run that stands still is kept open until another one was accepted, if the parts
@@ -86,13 +86,13 @@
     stalls: StallWatcher
     log: DecisionLog
     mover: Mover
-    first: Head | None = None
+    early_head: Head | None = None
     head: AnswerHead | None = None
-    began_at: float = 0.0
+    started_at: float = 0.0
     moving_since: float | None = None
     standby: Standby | None = None
-    listening: asyncio.Task | None = None
-    over: AttemptResult | None = None
+    standby_task: asyncio.Task | None = None
+    ended_result: AttemptResult | None = None
 
     @property
     def job(self) -> Job:
@@ -105,110 +105,110 @@
             return await self._relay()
         finally:
             if self.standby is not None:
-                self.listening.cancel()
-                self.mover.drop(self.standby)
+                self.standby_task.cancel()
+                self.mover.drop_standby(self.standby)
 
     async def _relay(self) -> AttemptResult:
         arrivals = self.exchange.arrivals
-        self.began_at = self.state.quiet_since = self.sender.clock()
-        if self.first is not None:
-            await self._take_head(self.first)
+        self.started_at = self.state.last_event_at = self.sender.clock()
+        if self.early_head is not None:
+            await self._on_head(self.early_head)
         while True:
             now = self.sender.clock()
-            arrival = await next_arrival(self.exchange, self._look_at(now), now)
+            arrival = await next_arrival(self.exchange, self._next_check_at(now), now)
             result: AttemptResult | None = None
             if isinstance(arrival, Head):
-                result = await self._take_head(arrival)
+                result = await self._on_head(arrival)
             elif isinstance(arrival, Data):
-                self.take(arrival.data)
+                self.receive(arrival.data)
             elif isinstance(arrival, Stalled):
-                result = await self._stand_still(arrival)
+                result = await self._on_stall(arrival)
             elif isinstance(arrival, StandbyHeard):
-                result = self._take_standby()
+                result = self._on_standby_settled()
             else:
-                result = self._ended(arrival)
+                result = self._on_end(arrival)
             if result is not None:
                 return result
             if self.head is not None and arrivals.empty():
-                self.exchange.sink = self.take
+                self.exchange.sink = self.receive
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Take bytes of the run, and pass on the events that are whole."""
-        self._pass_on(self.state.cutter.feed(data))
+        self._forward_events(self.state.cutter.feed(data))
         if self.state.cutter.overgrown:
             self.exchange.arrivals.put_nowait(End(False, "bytes that are no events"))
 
-    def _look_at(self, now: float) -> float:
+    def _next_check_at(self, now: float) -> float:
         """Return when to look again if nothing arrives, seconds."""
         if self.standby is not None:
-            return min(self.job.until, self.standby.began_at + SILENCE_PATIENCE)
+            return min(self.job.until, self.standby.started_at + STALL_TIMEOUT)
         if self.moving_since is not None:
-            return min(self.job.until, now + MOVE_PERIOD)
+            return min(self.job.until, now + PATH_SEARCH_PERIOD)
         if self.job.may_move:
-            return min(self.job.until, self.state.quiet_since + SILENCE_PATIENCE)
+            return min(self.job.until, self.state.last_event_at + STALL_TIMEOUT)
         return self.job.until
 
-    async def _take_head(self, arrival: Head) -> AttemptResult | None:
+    async def _on_head(self, arrival: Head) -> AttemptResult | None:
         """Take the head of an answer; return the end of a run that is no stream."""
         self.head = self.sender.codec.head(
             arrival.status, arrival.headers, self.job.request
         )
         if not self.head.succeeded:
-            return await self._refused(self.exchange, self.head)
+            return await self._read_error_response(self.exchange, self.head)
         if self.state.head is None:
             self.state.head = self.head
         return None
 
-    def _pass_on(self, events: bytes) -> None:
+    def _forward_events(self, events: bytes) -> None:
         """Write whole events to the caller."""
         if not events:
             return
         now = self.sender.clock()
-        self.state.quiet_since = now
+        self.state.last_event_at = now
         self.job.progress(now)
         self.stalls.progress(self.job, now)
         if self.job.caller.begun:
             self.job.caller.write(events)
             return
-        self._begin_answer(events)
+        self._begin_response(events)
 
-    async def _stand_still(self, arrival: Stalled) -> AttemptResult | None:
+    async def _on_stall(self, arrival: Stalled) -> AttemptResult | None:
         """Return the end of a run that stands still, None if it is kept open."""
         now = self.sender.clock()
         if now >= self.job.until:
-            self._give_up("the time of the route is over")
+            self._close_attempt("the time of the route is over")
             return AttemptResult(AttemptEnd.OVERDUE, self.job.reason)
         if self.standby is not None:
-            return self._give_up_standby(arrival, now)
+            return self._drop_stalled_standby(arrival, now)
         if not self.job.may_move or not self.exchange.arrivals.empty():
             return None
-        if not arrival.known and self._goes_on(now):
+        if not arrival.known and self._has_resumed(now):
             return None
-        first_look = self.moving_since is None
-        if first_look:
+        first_search = self.moving_since is None
+        if first_search:
             self.moving_since = now
-        found = await self.mover.find()
+        found = await self.mover.find_replacement()
         if isinstance(found, Refusal):
-            if first_look:
+            if first_search:
                 self.log.not_moved(self.job, found, now)
             return None
-        if self.state.quiet_since > now or not self.exchange.arrivals.empty():
+        if self.state.last_event_at > now or not self.exchange.arrivals.empty():
             # It went on, or ended, while the connection was made.
             self.mover.discard(found)
             return None
         if found.has_room:
-            await self._begin_standby(found)
+            await self._start_standby(found)
             return None
-        self._give_up(STOOD_STILL)
+        self._close_attempt(STALLED_REASON)
         return AttemptResult(AttemptEnd.STALLED, self.job.reason, replacement=found)
 
-    async def _begin_standby(self, found: Replacement) -> None:
+    async def _start_standby(self, found: Replacement) -> None:
         """Begin the next run beside this one."""
-        self.standby = await self.mover.begin(found)
+        self.standby = await self.mover.start_standby(found)
         if self.standby is not None:
-            self.listening = asyncio.ensure_future(self._listen(self.standby))
+            self.standby_task = asyncio.ensure_future(self._await_standby(self.standby))
 
-    async def _listen(self, standby: Standby) -> None:
+    async def _await_standby(self, standby: Standby) -> None:
         """Wait for the answer to a standby, and tell this run of it."""
         now = self.sender.clock()
         arrival = await next_arrival(standby.exchange, self.job.until, now)
@@ -219,13 +219,15 @@
             if head.succeeded:
                 standby.head = arrival
             else:
-                standby.failure = await self._refused(standby.exchange, head)
+                standby.failure = await self._read_error_response(
+                    standby.exchange, head
+                )
         else:
-            exchange, began_at = standby.exchange, standby.began_at
-            standby.failure = self._lost(exchange, began_at, arrival)
+            exchange, started_at = standby.exchange, standby.started_at
+            standby.failure = self._on_lost(exchange, started_at, arrival)
         self.exchange.arrivals.put_nowait(StandbyHeard())
 
-    def _take_standby(self) -> AttemptResult | None:
+    def _on_standby_settled(self) -> AttemptResult | None:
         """Go on with the standby if it was accepted and this run did not go on."""
         standby = self.standby
         if standby is None or not (standby.head or standby.failure):
@@ -233,94 +235,98 @@
             return None
         self.standby = None
         if standby.failure is not None:
-            self.mover.failed(standby)
-            return self.over
-        if self.state.quiet_since > standby.began_at:
-            self.mover.drop(standby)
-            self._goes_on(self.sender.clock())
+            self.mover.on_standby_failed(standby)
+            return self.ended_result
+        if self.state.last_event_at > standby.started_at:
+            self.mover.drop_standby(standby)
+            self._has_resumed(self.sender.clock())
             return None
-        if self.over is None:
-            self._give_up(STOOD_STILL)
-        self.mover.end(standby)
+        if self.ended_result is None:
+            self._close_attempt(STALLED_REASON)
+        self.mover.release_load(standby)
         replacement = Replacement(standby.path, standby=standby)
         return AttemptResult(
             AttemptEnd.STALLED, self.job.reason, replacement=replacement
         )
 
-    def _give_up_standby(self, arrival: Stalled, now: float) -> AttemptResult | None:
+    def _drop_stalled_standby(
+        self, arrival: Stalled, now: float
+    ) -> AttemptResult | None:
         """Drop a standby that stands still as well."""
-        if not arrival.known and now < self.standby.began_at + SILENCE_PATIENCE:
+        if not arrival.known and now < self.standby.started_at + STALL_TIMEOUT:
             return None
-        self.listening.cancel()
+        self.standby_task.cancel()
         standby, self.standby = self.standby, None
-        self.mover.drop(standby)
-        return self.over
+        self.mover.drop_standby(standby)
+        return self.ended_result
 
-    def _goes_on(self, now: float) -> bool:
+    def _has_resumed(self, now: float) -> bool:
         """Tell whether events went past a wait, so that the run is well."""
         if self.moving_since is None:
-            return now < self.state.quiet_since + SILENCE_PATIENCE
-        if self.state.quiet_since <= self.moving_since:
+            return now < self.state.last_event_at + STALL_TIMEOUT
+        if self.state.last_event_at <= self.moving_since:
             return False
         self.moving_since = None
         self.job.avoid.difference_update(p.endpoint for p in self.job.path.parts)
         self.stalls.resume(self.job, now)
         return True
 
-    def _give_up(self, reason: str) -> None:
+    def _close_attempt(self, reason: str) -> None:
         """Close a run that is still open."""
         self.exchange.abandon()
         self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
 
-    def _ended(self, arrival: End | Abandoned) -> AttemptResult | None:
+    def _on_end(self, arrival: End | Abandoned) -> AttemptResult | None:
         """Return what the end of a run amounts to, None while another is heard of."""
         if isinstance(arrival, Abandoned):
-            self._give_up(arrival.reason)
+            self._close_attempt(arrival.reason)
             self.job.caller.break_off()
             return AttemptResult(AttemptEnd.ABANDONED, arrival.reason)
         if arrival.complete and not self.state.cutter.pending:
             self.sender.release(self.exchange, self.head)
-            self._end_whole()
+            self._finish_response()
             return AttemptResult(AttemptEnd.WHOLE)
         if self.moving_since is None:
-            return self._lost(self.exchange, self.began_at, arrival)
+            return self._on_lost(self.exchange, self.started_at, arrival)
         # An engine ends a run that stood still behind another part; it is not lost.
-        self._give_up(arrival.reason or CUT_EVENT)
+        self._close_attempt(arrival.reason or TRUNCATED_EVENT_REASON)
         result = AttemptResult(AttemptEnd.STALLED, self.job.reason)
         if self.standby is None:
             return result
-        self.over = result
+        self.ended_result = result
         return None
 
-    def _lost(
-        self, exchange: Exchange, began_at: float, arrival: Arrival
+    def _on_lost(
+        self, exchange: Exchange, started_at: float, arrival: Arrival
     ) -> AttemptResult:
         """Return what the early end of a run amounts to."""
-        reason = getattr(arrival, "reason", "") or CUT_EVENT
+        reason = getattr(arrival, "reason", "") or TRUNCATED_EVENT_REASON
         exchange.abandon()
         self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
         now = self.sender.clock()
-        if exchange.was_dropped and now < began_at + DROP_NOTICED:
+        if exchange.was_dropped and now < started_at + DROP_NOTICED:
             return AttemptResult(AttemptEnd.DROPPED, reason)
         return AttemptResult(AttemptEnd.LOST, reason, first_lost=True)
 
-    def _end_whole(self) -> None:
+    def _finish_response(self) -> None:
         """End the caller's answer, which may have no events."""
         if not self.job.caller.begun:
-            self._begin_answer(b"")
+            self._begin_response(b"")
         self.job.caller.end()
 
-    def _begin_answer(self, events: bytes) -> None:
+    def _begin_response(self, events: bytes) -> None:
         """Begin the caller's answer; its length is not that of one run."""
         headers = self.sender.codec.for_caller(self.state.head)
         headers.pop("Content-Length", None)
         self.job.caller.begin(self.state.head.status, headers, events)
 
-    async def _refused(self, exchange: Exchange, head: AnswerHead) -> AttemptResult:
+    async def _read_error_response(
+        self, exchange: Exchange, head: AnswerHead
+    ) -> AttemptResult:
         """Read the body of an answer that is no stream, and keep a failure."""
         job = self.job
         body = bytearray()
-        until = min(job.until, self.sender.clock() + BODY_PATIENCE)
+        until = min(job.until, self.sender.clock() + ERROR_BODY_TIMEOUT)
         while True:
             now = self.sender.clock()
             arrival = await next_arrival(exchange, until, now)
--- a/packages/relay/src/lacewingcourse/relay/stream_state.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_state.py
@@ -50,7 +50,7 @@
 
     path: Path
     exchange: Exchange
-    began_at: float
+    started_at: float
     head: Head | None = None
     failure: AttemptResult | None = None
 
@@ -112,5 +112,5 @@
     demand: Demand
     cutter: EventCutter
     head: AnswerHead | None = None
-    quiet_since: float = 0.0
+    last_event_at: float = 0.0
     failure: WholeAnswer | None = None
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -23,7 +23,7 @@
 from lacewingcourse.relay.moving import Mover
 from lacewingcourse.relay.path_finder import demand_of
 from lacewingcourse.relay.sending import Sender
-from lacewingcourse.relay.stream_run import StreamRun
+from lacewingcourse.relay.stream_attempt import StreamAttempt
 from lacewingcourse.relay.stream_state import (
     AttemptEnd,
     AttemptResult,
@@ -96,21 +96,21 @@
             else:
                 path = await self._wait_for_path(state)
             if isinstance(path, Refusal):
-                return self._give_up(state, path.kind, path.reason, path.retry_after)
+                return self._fail(state, path.kind, path.reason, path.retry_after)
             now = self.sender.clock()
-            self._note_transfers(state, path, now)
-            result = await self._run(state, path, replacement)
+            self._record_transfers(state, path, now)
+            result = await self._run_attempt(state, path, replacement)
             replacement = result.replacement if result is not None else None
             if result is None:
-                self.unreachable(job, path)
+                self.exclude_unreachable(job, path)
                 continue
             if result.end in (AttemptEnd.WHOLE, AttemptEnd.ABANDONED):
                 return None
             if result.end is AttemptEnd.NOT_TAKEN:
-                return self._give_up(state, ErrorKind.DRAINING, result.reason)
+                return self._fail(state, ErrorKind.DRAINING, result.reason)
             if result.end is AttemptEnd.HELD:
                 if not job.caller.begun or job.caller.gone:
-                    return self._give_up(state, ErrorKind.OVERLOADED, result.reason)
+                    return self._fail(state, ErrorKind.OVERLOADED, result.reason)
                 await asyncio.sleep(RETRY_PERIOD)
                 continue
             if result.end in (AttemptEnd.NO_RETRY, AttemptEnd.LIMITED):
@@ -119,21 +119,21 @@
             if replacement is not None and replacement.standby is not None:
                 continue
             if result.end is AttemptEnd.OVERDUE:
-                return self._give_up(state, ErrorKind.DEADLINE_EXCEEDED, result.reason)
+                return self._fail(state, ErrorKind.DEADLINE_EXCEEDED, result.reason)
             if result.end is AttemptEnd.FAILED or not job.may_send_again:
-                return self._give_up(state, self._kind(result), "no attempt is left")
+                return self._fail(state, self._error_kind(result), "no attempt is left")
 
     async def _wait_for_path(self, state: StreamState) -> Path | Refusal:
         """Return a path for a request, or why none was found while it waited."""
-        asked = self.sender.clock()
+        queued_at = self.sender.clock()
         path = await self.admission.path_for(
-            state.job, state.demand, lambda: self.path_now(state)
+            state.job, state.demand, lambda: self.reserve_path(state)
         )
-        state.job.waited += self.sender.clock() - asked
+        state.job.waited += self.sender.clock() - queued_at
         return path
 
-    def path_now(
-        self, state: StreamState, besides: Collection[str] = ()
+    def reserve_path(
+        self, state: StreamState, also_avoid: Collection[str] = ()
     ) -> Path | Refusal:
         """Return a path that a request may be sent on now, or why there is none.
 
@@ -144,19 +144,19 @@
             besides: Endpoints to avoid besides those that it avoids anyway.
         """
         job = state.job
-        refusal = self.refused_now(job)
+        refusal = self.reserve_retry(job)
         if refusal is not None:
             return refusal
         limits = self.beliefs.send_limits
         limits.release(job)
-        found = self.finder.find(job, state.shape, state.demand, besides)
+        found = self.finder.find(job, state.shape, state.demand, also_avoid)
         if isinstance(found, Refusal):
             self.sender.release_holds(job)
         else:
             limits.hold(found.first.endpoint, job, self.sender.clock())
         return found
 
-    def refused_now(self, job: Job) -> Refusal | None:
+    def reserve_retry(self, job: Job) -> Refusal | None:
         """Hold the retry that a send needs; return why it may not be sent, if so."""
         now = self.sender.clock()
         refusal = job.refused_at(now)
@@ -169,13 +169,13 @@
             return Refusal(ErrorKind.RETRIES_EXHAUSTED, Unsent.NO_RETRY.value)
         return None
 
-    def _note_transfers(self, state: StreamState, path: Path, now: float) -> None:
+    def _record_transfers(self, state: StreamState, path: Path, now: float) -> None:
         """Note the time that a prompt takes on the links of its path."""
         for pair in path.crossings:
             seconds = state.shape.transfer_seconds(state.demand.prompt)
             self.beliefs.links.add(pair, seconds, now)
 
-    async def _run(
+    async def _run_attempt(
         self, state: StreamState, path: Path, replacement: Replacement | None
     ) -> AttemptResult | None:
         """Run a stream on a path; None if the request never left this process.
@@ -190,24 +190,24 @@
         self.beliefs.loads.begin(path, state.demand.tokens)
         try:
             fresh = not job.route.retry_safety.may_retry
-            result = await self._relay(state, fresh, replacement)
+            result = await self._send_and_relay(state, fresh, replacement)
             if result is None or result.end is not AttemptEnd.DROPPED:
                 return result
             # Endpoints drop kept connections without notice. Taken for a lost run, each
             # of these would use up an attempt of the route and a retry.
             job.sends -= 1
             self.sender.pool.close_idle(path.first.address)
-            again = await self._relay(state, fresh=True)
+            again = await self._send_and_relay(state, fresh=True)
             if again is None:
                 # The endpoint is gone, perhaps under this request.
                 job.sends += 1
-                self.unreachable(job, path)
+                self.exclude_unreachable(job, path)
                 return AttemptResult(AttemptEnd.LOST, result.reason, first_lost=True)
             return again
         finally:
             self.beliefs.loads.end(path, state.demand.tokens)
 
-    async def _relay(
+    async def _send_and_relay(
         self, state: StreamState, fresh: bool, replacement: Replacement | None = None
     ) -> AttemptResult | None:
         """Send a stream on its path and pass on what comes; None if it never left.
@@ -219,7 +219,7 @@
         """
         if replacement is not None and replacement.standby is not None:
             standby = replacement.standby
-            return await self._pass_on(state, standby.exchange, standby.head)
+            return await self._relay_response(state, standby.exchange, standby.head)
         reserved = replacement.connection if replacement is not None else None
         job = state.job
         now = self.sender.clock()
@@ -228,18 +228,18 @@
         if now >= job.until:
             if reserved is not None:
                 reserved.close()
-            return self._unsent(NotSent(Unsent.OVERDUE))
+            return self._result_of_unsent(NotSent(Unsent.OVERDUE))
         sending = job.sending(
             first.name, first.address, job.path, now, after, first.endpoint
         )
         sent = await self.sender.send(job, sending, fresh, reserved)
         if isinstance(sent, NotSent):
             job.note(SendOutcome.NEVER_LEFT, sent.reason)
-            return self._unsent(sent)
-        self.note_send(job, job.path)
-        return await self._pass_on(state, sent, None)
+            return self._result_of_unsent(sent)
+        self.record_send(job, job.path)
+        return await self._relay_response(state, sent, None)
 
-    async def _pass_on(
+    async def _relay_response(
         self, state: StreamState, sent: Exchange, head: Head | None
     ) -> AttemptResult:
         """Pass on what arrives of a run that was sent.
@@ -257,10 +257,10 @@
                 job.caller_gone()
             state.cutter.restart()
             mover = Mover(self, state, job.path)
-            run = StreamRun(
+            attempt = StreamAttempt(
                 state, sent, self.sender, self.stalls, self.log, mover, head
             )
-            return await run.relay()
+            return await attempt.relay()
         except BaseException:
             # The engine must not work on for a caller whose answer has ended.
             sent.abandon()
@@ -269,7 +269,7 @@
             job.current = None
             self.stalls.end(job)
 
-    def note_send(self, job: Job, path: Path) -> None:
+    def record_send(self, job: Job, path: Path) -> None:
         """Note that a run was sent on a path."""
         job.sends += 1
         job.firsts.add(path.first.endpoint)
@@ -278,14 +278,14 @@
         limit = self.beliefs.limits.named(path.first.endpoint)
         self.log.sent(job, path.first.endpoint, age, job.waited, limit)
 
-    def unreachable(self, job: Job, path: Path) -> None:
+    def exclude_unreachable(self, job: Job, path: Path) -> None:
         """Leave out the first endpoint of a path, to which no connection was made."""
         endpoint = path.first.endpoint
         reason = Unsent.UNREACHABLE.value
         self.beliefs.suspects.suspect(endpoint, reason, self.sender.clock())
         job.avoid.add(endpoint)
 
-    def _unsent(self, sent: NotSent) -> AttemptResult | None:
+    def _result_of_unsent(self, sent: NotSent) -> AttemptResult | None:
         """Return what a request amounts to that was not sent; None to try elsewhere.
 
         A time that is over, or a lack of this entry, says nothing of the endpoint: left
@@ -312,7 +312,7 @@
         if at_fault:
             endpoint = at_fault[0].endpoint
             job.avoid.add(endpoint)
-            filled = self._filled(job, at_fault[0])
+            filled = self._memory_share(job, at_fault[0])
             if is_full(result.misdirected, filled):
                 self.stalls.probe(at_fault[0], now)
             else:
@@ -331,24 +331,24 @@
         fault = at_fault[0].endpoint if at_fault else ""
         self.log.lost(job, path.first.endpoint, result.reason, fault, filled)
 
-    def _filled(self, job: Job, part: Part) -> float:
+    def _memory_share(self, job: Job, part: Part) -> float:
         """Return the share of a part's memory that is believed to be taken."""
         shape = self.beliefs.shape(job.service)
         if shape is None:
             return 0.0
         return self.beliefs.chooser(shape).filled(part)
 
-    def _kind(self, result: AttemptResult) -> ErrorKind:
+    def _error_kind(self, result: AttemptResult) -> ErrorKind:
         if result.end is AttemptEnd.REJECTED:
             return ErrorKind.OVERLOADED
         return ErrorKind.STAGE_LOST
 
-    def _give_up(
+    def _fail(
         self,
         state: StreamState,
         kind: ErrorKind,
         cause: str,
-        next_in: float | None = None,
+        limit_wait: float | None = None,
     ) -> Refusal | None:
         """Return how a stream ends that cannot go on; None if it was answered.
 
@@ -368,8 +368,8 @@
             return Refusal(kind, cause, Outcome.PARTIAL)
         job.reason = job.reason or cause
         wait = self._retry_after(job, kind)
-        if next_in is not None:
-            wait = max(wait, retry_after_limit(next_in, self.rng.random()))
+        if limit_wait is not None:
+            wait = max(wait, retry_after_limit(limit_wait, self.rng.random()))
         return job.failure(kind, wait)
 
     def _retry_after(self, job: Job, kind: ErrorKind) -> float:
