--- a/packages/relay/src/lacewingcourse/relay/connections.py
+++ b/packages/relay/src/lacewingcourse/relay/connections.py
@@ -15,11 +15,11 @@
 #: milliseconds; an opening packet that was dropped is sent again after a second.
 CONNECT_TIMEOUT = 0.35
 #: Seconds for which an idle connection is kept if the endpoint does not tell.
-UNTOLD_KEEP_ALIVE = 2.0
+DEFAULT_KEEP_ALIVE = 2.0
 #: Part of a told time after which an idle connection is not used any more.
 KEEP_ALIVE_SHARE = 0.6
 #: Idle connections that are kept for each address.
-MOST_IDLE = 64
+MAX_IDLE_PER_ADDRESS = 64
 #: Milliseconds after which unacknowledged bytes end a connection.
 USER_TIMEOUT_MS = 1500
 
@@ -101,9 +101,9 @@
 
     def acquire(self, address: str, now: float) -> Connection | None:
         """Return an idle connection, None if there is none that may be used."""
-        waiting = self.idle.get(address, [])
-        while waiting:
-            connection = waiting.pop()
+        available = self.idle.get(address, [])
+        while available:
+            connection = available.pop()
             if now < connection.usable_until and connection.stream.clean:
                 connection.stream.set_close_callback(None)
                 connection.reused = True
@@ -115,12 +115,12 @@
 
     async def connect(self, address: str) -> Connection | NotSent:
         """Return a new connection, or why it cannot be made in time."""
-        made = self._socket()
-        if made is None:
+        sock = self._socket()
+        if sock is None:
             return NotSent(Unsent.NO_DESCRIPTOR)
-        made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-        stream = EndpointStream(made)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+        stream = EndpointStream(sock)
         try:
             connecting = stream.connect(split_address(address))
             await asyncio.wait_for(connecting, CONNECT_TIMEOUT)
@@ -147,20 +147,24 @@
         self, connection: Connection, keep_alive: float | None, now: float
     ) -> None:
         """Keep a connection whose last answer was read to its end."""
-        waiting = self.idle.setdefault(connection.address, [])
-        told = UNTOLD_KEEP_ALIVE if keep_alive is None else keep_alive
-        if told <= 0 or len(waiting) >= MOST_IDLE or not connection.stream.clean:
+        available = self.idle.setdefault(connection.address, [])
+        lifetime = DEFAULT_KEEP_ALIVE if keep_alive is None else keep_alive
+        if (
+            lifetime <= 0
+            or len(available) >= MAX_IDLE_PER_ADDRESS
+            or not connection.stream.clean
+        ):
             connection.close()
             self._drop_if_empty(connection.address)
             return
-        connection.usable_until = now + told * KEEP_ALIVE_SHARE
-        connection.stream.set_close_callback(lambda: self._forget(connection))
-        waiting.append(connection)
+        connection.usable_until = now + lifetime * KEEP_ALIVE_SHARE
+        connection.stream.set_close_callback(lambda: self._remove(connection))
+        available.append(connection)
 
     def expire(self, now: float) -> None:
         """Close the connections that may not be used any more."""
-        for address, waiting in list(self.idle.items()):
-            self._close(address, [c for c in waiting if c.usable_until <= now])
+        for address, available in list(self.idle.items()):
+            self._close(address, [c for c in available if c.usable_until <= now])
 
     def close_idle(self, address: str) -> None:
         """Close all idle connections to an endpoint, which has dropped one of them."""
@@ -178,8 +182,8 @@
         if not self.idle.get(address):
             self.idle.pop(address, None)
 
-    def _forget(self, connection: Connection) -> None:
-        waiting = self.idle.get(connection.address, [])
-        if connection in waiting:
-            waiting.remove(connection)
+    def _remove(self, connection: Connection) -> None:
+        available = self.idle.get(connection.address, [])
+        if connection in available:
+            available.remove(connection)
         self._drop_if_empty(connection.address)
--- a/packages/relay/src/lacewingcourse/relay/sending.py
+++ b/packages/relay/src/lacewingcourse/relay/sending.py
@@ -40,7 +40,7 @@
 SERVER_ERROR = 500
 #: Seconds after a send in which the end of a kept connection tells that it had been
 #: dropped. Later ends may be crashes under the request.
-DROP_NOTICED = 0.1
+STALE_CONNECTION_WINDOW = 0.1
 
 
 @attrs.define
@@ -127,12 +127,12 @@
         """
         request, sent_at = job.request, self.clock()
 
-        def is_ours(status: int, headers: HTTPHeaders) -> bool:
+        def accepts_head(status: int, headers: HTTPHeaders) -> bool:
             head = self.codec.head(status, headers, request)
             self.on_head(sending, head, sent_at)
             return head.standing is not Standing.FOREIGN
 
-        exchange = Exchange(connection, is_ours)
+        exchange = Exchange(connection, accepts_head)
         headers = self.codec.outgoing(request, sending)
         exchange.start(request.method, request.target, headers, request.body)
         return exchange
@@ -246,7 +246,7 @@
                 return self.abandon(arrival.reason)
             elif isinstance(arrival, End):
                 self.sender.release(self.exchange, self.head)
-                return self._judge(arrival)
+                return self._classify(arrival)
             else:
                 return None
 
@@ -260,12 +260,12 @@
         self.exchange.abandon()
         return NoAnswer(SendOutcome.MAY_HAVE_RUN, reason, timed_out)
 
-    def _judge(self, end: End) -> WholeAnswer | NoAnswer:
+    def _classify(self, end: End) -> WholeAnswer | NoAnswer:
         """Return what an answer that has ended amounts to."""
         head = self.head
         if head is None or not end.complete:
             reason = end.reason or "no head"
-            soon = self.sender.clock() < self.sent_at + DROP_NOTICED
+            soon = self.sender.clock() < self.sent_at + STALE_CONNECTION_WINDOW
             dropped = self.exchange.was_dropped and soon
             return NoAnswer(
                 SendOutcome.MAY_HAVE_RUN, reason, connection_lost=True, dropped=dropped
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -315,7 +315,7 @@
         job = self.jobs[watched]
         if job.may_move and job.current is not None:
             job.avoid.update(endpoints)
-            job.current.arrivals.put_nowait(Stalled(known=True))
+            job.current.arrivals.put_nowait(Stalled(cause_known=True))
             self.end(job)
 
 
--- a/packages/relay/src/lacewingcourse/relay/stream_attempt.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_attempt.py
@@ -10,8 +10,8 @@
 from lacewingcourse.core.errors import Refusal
 from lacewingcourse.relay.ports import Standing
 from lacewingcourse.relay.sending import (
-    DROP_NOTICED,
     SERVER_ERROR,
+    STALE_CONNECTION_WINDOW,
     WholeAnswer,
     next_arrival,
 )
@@ -23,7 +23,7 @@
     Head,
     SendOutcome,
     Stalled,
-    StandbyHeard,
+    StandbySettled,
 )
 
 if TYPE_CHECKING:
@@ -123,7 +123,7 @@
                 self.receive(arrival.data)
             elif isinstance(arrival, Stalled):
                 result = await self._on_stall(arrival)
-            elif isinstance(arrival, StandbyHeard):
+            elif isinstance(arrival, StandbySettled):
                 result = self._on_standby_settled()
             else:
                 result = self._on_end(arrival)
@@ -182,7 +182,7 @@
             return self._drop_stalled_standby(arrival, now)
         if not self.job.may_move or not self.exchange.arrivals.empty():
             return None
-        if not arrival.known and self._has_resumed(now):
+        if not arrival.cause_known and self._has_resumed(now):
             return None
         first_search = self.moving_since is None
         if first_search:
@@ -225,7 +225,7 @@
         else:
             exchange, started_at = standby.exchange, standby.started_at
             standby.failure = self._on_lost(exchange, started_at, arrival)
-        self.exchange.arrivals.put_nowait(StandbyHeard())
+        self.exchange.arrivals.put_nowait(StandbySettled())
 
     def _on_standby_settled(self) -> AttemptResult | None:
         """Go on with the standby if it was accepted and this run did not go on."""
@@ -253,7 +253,7 @@
         self, arrival: Stalled, now: float
     ) -> AttemptResult | None:
         """Drop a standby that stands still as well."""
-        if not arrival.known and now < self.standby.started_at + STALL_TIMEOUT:
+        if not arrival.cause_known and now < self.standby.started_at + STALL_TIMEOUT:
             return None
         self.standby_task.cancel()
         standby, self.standby = self.standby, None
@@ -304,7 +304,7 @@
         exchange.abandon()
         self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
         now = self.sender.clock()
-        if exchange.was_dropped and now < started_at + DROP_NOTICED:
+        if exchange.was_dropped and now < started_at + STALE_CONNECTION_WINDOW:
             return AttemptResult(AttemptEnd.DROPPED, reason)
         return AttemptResult(AttemptEnd.LOST, reason, first_lost=True)
 
--- a/packages/relay/src/lacewingcourse/relay/upstream.py
+++ b/packages/relay/src/lacewingcourse/relay/upstream.py
@@ -23,9 +23,9 @@
     from lacewingcourse.relay.connections import Connection
 
 #: Bytes that an endpoint's head may have.
-MOST_HEAD = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 #: Bytes that an endpoint's body may have.
-MOST_BODY = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class SendOutcome(Enum):
@@ -70,10 +70,10 @@
     """Nothing arrived for too long.
 
     Attributes:
-        known: Whether an endpoint on the path is known to be the cause.
+        cause_known: Whether an endpoint on the path is known to be the cause.
     """
 
-    known: bool = False
+    cause_known: bool = False
 
 
 @attrs.frozen
@@ -84,11 +84,11 @@
 
 
 @attrs.frozen
-class StandbyHeard:
+class StandbySettled:
     """A run that was begun beside this one was accepted, or not."""
 
 
-Arrival = Head | Data | End | Stalled | Abandoned | StandbyHeard
+Arrival = Head | Data | End | Stalled | Abandoned | StandbySettled
 
 
 class Exchange(HTTPMessageDelegate):
@@ -107,14 +107,14 @@
     def __init__(
         self,
         connection: Connection,
-        is_ours: Callable[[int, HTTPHeaders], bool],
+        accepts_head: Callable[[int, HTTPHeaders], bool],
     ) -> None:
         self.connection = connection
         self.arrivals: asyncio.Queue[Arrival] = asyncio.Queue()
         self.complete = False
-        self.heard = False
+        self.received_any = False
         self.sink: Callable[[bytes], None] | None = None
-        self._is_ours = is_ours
+        self._accepts_head = accepts_head
         self._skipping = False
         self._until_close = False
         self._closes = False
@@ -125,7 +125,7 @@
     ) -> None:
         """Send the request; what arrives is put into `arrivals`."""
         params = HTTP1ConnectionParameters(
-            max_header_size=MOST_HEAD, max_body_size=MOST_BODY
+            max_header_size=MAX_HEAD_BYTES, max_body_size=MAX_BODY_BYTES
         )
         http = HTTP1Connection(self.connection.stream, True, params)
         line = RequestStartLine(method, target, "HTTP/1.1")
@@ -151,17 +151,17 @@
         One that was kept and ends before a byte of an answer nearly always had been
         dropped while it was idle; that the request ran is not ruled out.
         """
-        return self.connection.reused and not self.heard
+        return self.connection.reused and not self.received_any
 
     def headers_received(
         self, start_line: ResponseStartLine | RequestStartLine, headers: HTTPHeaders
     ) -> None:
         """Take the head of an answer."""
-        self.heard = True
+        self.received_any = True
         status = start_line.code
         if status < 200:
             return
-        self._skipping = not self._is_ours(status, headers)
+        self._skipping = not self._accepts_head(status, headers)
         self._until_close = (
             "Content-Length" not in headers
             and "Transfer-Encoding" not in headers
