--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -27,22 +27,22 @@
 #: Seconds between two looks, a fraction of the shortest silence that is looked at.
 CHECK_PERIOD = 0.02
 #: Seconds between two questions to the same endpoint.
-QUESTION_PERIOD = 0.1
+PROBE_PERIOD = 0.1
 #: Seconds in which an endpoint must answer that lives. A report takes a round trip and
 #: waits for no slot.
-ANSWER_TIMEOUT = 0.05
+PROBE_TIMEOUT = 0.05
 #: Seconds after which a question is put a second time, or at once if its connection
 #: failed: a packet may be lost, and a kept connection may have been reset.
 SECOND_PROBE_DELAY = 0.02
 #: Seconds for which it is believed without a question that an endpoint is dead. An
 #: older suspicion may have been refuted meanwhile.
-FRESH = 0.5
+MAX_SUSPICION_AGE = 0.5
 #: Seconds between two questions that count as put together.
-TOGETHER = 0.005
+CONCURRENT_PROBE_WINDOW = 0.005
 
 
 @attrs.frozen
-class NobodyAnswers:
+class AllUnavailable:
     """A sentinel value: neither an endpoint nor those compared with it answered.
 
     Attributes:
@@ -83,9 +83,9 @@
     on_start: Callable[[str, int], bool]
     watch: StallWatch = attrs.field(factory=StallWatch)
     jobs: dict[Watched, Job] = attrs.field(factory=dict)
-    asked: dict[str, float] = attrs.field(factory=dict)
+    probed_at: dict[str, float] = attrs.field(factory=dict)
     probing: set[str] = attrs.field(factory=set)
-    answered: dict[str, float] = attrs.field(factory=dict)
+    answered_probe_at: dict[str, float] = attrs.field(factory=dict)
 
     def begin(self, job: Job, now: float) -> None:
         """Watch a stream that was sent."""
@@ -123,31 +123,31 @@
             await asyncio.sleep(CHECK_PERIOD)
             now = self.clock()
             if now - last < 2 * CHECK_PERIOD:
-                self.look(now)
+                self.check(now)
             last = now
 
-    def look(self, now: float) -> None:
+    def check(self, now: float) -> None:
         """Move silent streams whose cause is known, ask about the others."""
-        known = self.suspects.silent(now, since=now - FRESH)
+        known = self.suspects.silent(now, since=now - MAX_SUSPICION_AGE)
         for silence in self.watch.silent(now):
             cause = known.intersection(p.endpoint for p in silence.unheard)
             if cause:
                 self._move(silence.watched, cause)
                 continue
-            self._ask_all(silence.unheard, now)
+            self._probe_all(silence.unheard, now)
         for silence in self.watch.cut_off(now):
             parts = (p for p in silence.unheard if p.endpoint not in known)
-            self._ask_all(parts, now)
-        self._ask_slow(now)
+            self._probe_all(parts, now)
+        self._probe_slow(now)
 
-    def _ask_slow(self, now: float) -> None:
+    def _probe_slow(self, now: float) -> None:
         """Ask endpoints that were slow whether they still are, while they are used."""
         slow = self.speeds.expiring(now)
         if slow:
             parts = {part for w in self.watch.streams for part in w.path.parts}
-            self._ask_all((p for p in parts if p.endpoint in slow), now)
+            self._probe_all((p for p in parts if p.endpoint in slow), now)
 
-    def _ask_all(self, parts: Iterable[Part], now: float) -> None:
+    def _probe_all(self, parts: Iterable[Part], now: float) -> None:
         for part in parts:
             self.probe(part, now)
 
@@ -173,22 +173,22 @@
         pause that callers accept; whether any part answers at all is news of this
         moment.
         """
-        asked = self.asked.get(part.address, float("-inf"))
-        if part.address in self.probing or now - asked < QUESTION_PERIOD:
+        probed_at = self.probed_at.get(part.address, float("-inf"))
+        if part.address in self.probing or now - probed_at < PROBE_PERIOD:
             return
-        self.asked[part.address] = now
+        self.probed_at[part.address] = now
         self.probing.add(part.address)
-        asyncio.ensure_future(self._ask(part))
+        asyncio.ensure_future(self._run_probe(part))
 
-    async def _ask(self, part: Part) -> None:
+    async def _run_probe(self, part: Part) -> None:
         started = self.clock()
         try:
-            found = await self._answer(part, started)
-            if isinstance(found, Unavailable) and not self._others_answer(
+            found = await self._probe_twice(part, started)
+            if isinstance(found, Unavailable) and not self._others_answered(
                 part, started
             ):
                 started = self.clock()
-                found = await self._compare(part)
+                found = await self._probe_with_controls(part)
         finally:
             self.probing.discard(part.address)
         if isinstance(found, Undecodable):
@@ -200,10 +200,10 @@
             # A process that stood still itself has not read an answer that came.
             if (
                 self.clock() - started
-                < ANSWER_TIMEOUT + SECOND_PROBE_DELAY + CHECK_PERIOD
+                < PROBE_TIMEOUT + SECOND_PROBE_DELAY + CHECK_PERIOD
             ):
-                self._dead({part.endpoint}, f"no report: {found.reason}")
-        elif isinstance(found, NobodyAnswers):
+                self._declare_dead({part.endpoint}, f"no report: {found.reason}")
+        elif isinstance(found, AllUnavailable):
             self.log.belief(
                 "not_suspected", endpoint=part.endpoint, compared=found.compared
             )
@@ -211,67 +211,70 @@
             self.move_streams_from(part.endpoint)
         else:
             self.speeds.tell(part.endpoint, found.pace, self.clock())
-            self._take_report(part, found)
+            self._apply_report(part, found)
 
-    async def _answer(
+    async def _probe_twice(
         self, part: Part, started: float
     ) -> EngineReport | Unavailable | Undecodable:
         """Return an endpoint's report, or why neither of two questions brought one."""
-        first = asyncio.ensure_future(self._report(part.address))
+        first = asyncio.ensure_future(self._fetch_report(part.address))
         await asyncio.wait({first}, timeout=SECOND_PROBE_DELAY)
         if first.done() and not isinstance(first.result(), Unavailable):
             return first.result()
         now = self.clock()
-        prompt = now - started < SECOND_PROBE_DELAY + CHECK_PERIOD
-        if prompt and self._others_answer(part, started):
+        on_time = now - started < SECOND_PROBE_DELAY + CHECK_PERIOD
+        if on_time and self._others_answered(part, started):
             self._move_early(part.endpoint, now)
-        second = asyncio.ensure_future(self._report(part.address))
+        second = asyncio.ensure_future(self._fetch_report(part.address))
         waiting = {first, second}
         while waiting:
             done, waiting = await asyncio.wait(
                 waiting, return_when=asyncio.FIRST_COMPLETED
             )
-            for answered in done:
-                found = answered.result()
+            for task in done:
+                found = task.result()
                 if not isinstance(found, Unavailable):
                     return found
         return found
 
-    async def _report(self, address: str) -> EngineReport | Unavailable | Undecodable:
+    async def _fetch_report(
+        self, address: str
+    ) -> EngineReport | Unavailable | Undecodable:
         """Put one question to an endpoint."""
-        asked = self.clock()
-        found = await self.reports.report(address, ANSWER_TIMEOUT)
+        probed_at = self.clock()
+        found = await self.reports.report(address, PROBE_TIMEOUT)
         if not isinstance(found, Unavailable):
-            self.answered[address] = asked
+            self.answered_probe_at[address] = probed_at
         return found
 
-    def _others_answer(self, part: Part, started: float) -> bool:
+    def _others_answered(self, part: Part, started: float) -> bool:
         """Tell whether others answered what they were asked together with an endpoint.
 
         While something fills the link of this entry, nobody's answers come in time:
         silence then tells of the entry, and not of those that it asks. What was asked
         later may be answered over a link that is free again.
         """
-        since = started - TOGETHER
-        until = started + SECOND_PROBE_DELAY + TOGETHER
+        since = started - CONCURRENT_PROBE_WINDOW
+        until = started + SECOND_PROBE_DELAY + CONCURRENT_PROBE_WINDOW
         return any(
-            since <= asked <= until
-            for address, asked in self.answered.items()
+            since <= probed_at <= until
+            for address, probed_at in self.answered_probe_at.items()
             if address != part.address
         )
 
-    async def _compare(
+    async def _probe_with_controls(
         self, part: Part
-    ) -> EngineReport | Unavailable | Undecodable | NobodyAnswers:
+    ) -> EngineReport | Unavailable | Undecodable | AllUnavailable:
         """Ask an endpoint once more, together with others that should answer."""
         others = self._controls(part)
         if not others:
-            return await self._report(part.address)
+            return await self._fetch_report(part.address)
         own, *found = await asyncio.gather(
-            self._report(part.address), *(self._report(other) for other in others)
+            self._fetch_report(part.address),
+            *(self._fetch_report(other) for other in others),
         )
         if isinstance(own, Unavailable) and _all_unavailable(found):
-            return NobodyAnswers(tuple(others))
+            return AllUnavailable(tuple(others))
         return own
 
     def _controls(self, part: Part) -> list[str]:
@@ -285,13 +288,13 @@
         unused = self.finder.unused(used | {part.address})
         return [address for address in (heard, unused) if address is not None]
 
-    def _take_report(self, asked: Part, found: EngineReport) -> None:
+    def _apply_report(self, source: Part, found: EngineReport) -> None:
         """Leave out what an engine names as the cause that requests stand still."""
         addresses = {stalled.address for stalled in found.stalled}
         parts = {p for w in self.watch.streams for p in w.path.parts}
         dead = {part.endpoint for part in parts if part.address in addresses}
         if dead:
-            self._dead(dead, f"named by {asked.address} as not answering")
+            self._declare_dead(dead, f"named by {source.address} as not answering")
 
     def move_streams_from(self, ended: str) -> None:
         """Send the streams through an incarnation that has ended on elsewhere."""
@@ -299,7 +302,7 @@
             if watched.path.uses({ended}):
                 self._move(watched, {ended})
 
-    def _dead(self, endpoints: set[str], reason: str) -> None:
+    def _declare_dead(self, endpoints: set[str], reason: str) -> None:
         """Leave out endpoints, and send the streams through them on elsewhere."""
         self.on_suspect(tuple(sorted(endpoints)), reason)
         now = self.clock()
--- a/packages/relay/tests/relay/stream_scenario.py
+++ b/packages/relay/tests/relay/stream_scenario.py
@@ -250,7 +250,7 @@
 
     def declare_dead(self, *names: str):
         """Return what tells a watcher that endpoints are dead."""
-        return lambda watcher: watcher._dead(set(names), "no report")
+        return lambda watcher: watcher._declare_dead(set(names), "no report")
 
     def allow(self, slack: float):
         """Return what changes the retries that are allowed."""
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -14,8 +14,8 @@
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.ports import EngineReport, StalledRequest, Unavailable
 from lacewingcourse.relay.stall_watcher import (
+    CONCURRENT_PROBE_WINDOW,
     SECOND_PROBE_DELAY,
-    TOGETHER,
     StallWatcher,
 )
 from lacewingcourse.relay.upstream import Stalled
@@ -39,10 +39,10 @@
 
     def __init__(self, found) -> None:
         self.found = found
-        self.asked: list[str] = []
+        self.probed: list[str] = []
 
     async def report(self, address: str, patience: float):
-        self.asked.append(address)
+        self.probed.append(address)
         return self.found
 
 
@@ -102,7 +102,7 @@
     async def run():
         watcher.begin(job, 0.0)
         watcher.progress(job, 0.0)
-        watcher.look(now)
+        watcher.check(now)
         for _ in range(TURNS):
             await asyncio.sleep(0)
 
@@ -122,7 +122,7 @@
     watcher = make_watcher(EngineReport())
     job = make_job(path_of("a", "b"))
     watched_until(watcher, job, 0.2)
-    assert watcher.reports.asked == ["a:1", "b:1"]
+    assert watcher.reports.probed == ["a:1", "b:1"]
     assert job.current.arrivals.empty()
     assert watcher.suspects.excluded(0.1) == set()
 
@@ -147,7 +147,7 @@
     watcher = make_watcher(Unavailable("timed out"))
     job = make_job(path_of("a", "b"))
     watched_until(watcher, job, 0.2)
-    assert {"a:1", "b:1"} <= set(watcher.reports.asked)
+    assert {"a:1", "b:1"} <= set(watcher.reports.probed)
     assert watcher.suspects.excluded(0.2) == set()
     assert job.current.arrivals.empty()
     assert set(events) == {"not_suspected"}
@@ -157,10 +157,10 @@
     """The link was free again when the other endpoint was asked."""
     watcher = make_watcher(Unavailable("timed out"))
     job = make_job(path_of("a"))
-    later = 0.2 + SECOND_PROBE_DELAY + 2 * TOGETHER
-    watcher.answered["c:1"] = later
+    later = 0.2 + SECOND_PROBE_DELAY + 2 * CONCURRENT_PROBE_WINDOW
+    watcher.answered_probe_at["c:1"] = later
     watched_until(watcher, job, 0.2)
-    assert watcher.reports.asked == ["a:1"] * 3
+    assert watcher.reports.probed == ["a:1"] * 3
     assert watcher.suspects.excluded(0.2) == {"a"}
 
 
@@ -169,7 +169,7 @@
     watcher.reports = OneDead("a:1")
     job = make_job(path_of("a"))
     watched_until(watcher, job, 0.2)
-    assert watcher.reports.asked == ["a:1", "a:1", "a:1", "c:1"]
+    assert watcher.reports.probed == ["a:1", "a:1", "a:1", "c:1"]
     assert watcher.suspects.excluded(0.2) == {"a"}
 
 
@@ -186,7 +186,7 @@
         watcher.progress(silent, 0.0)
         watcher.begin(heard, 0.0)
         watcher.progress(heard, 0.19)
-        watcher.look(0.2)
+        watcher.check(0.2)
 
     asyncio.run(run())
     assert silent.current.arrivals.empty()
@@ -197,7 +197,7 @@
     watcher.suspects.from_peer("b", 2.0, now=0.0, silent=True)
     job = make_job(path_of("a", "b"))
     watched_until(watcher, job, 0.2)
-    assert watcher.reports.asked == []
+    assert watcher.reports.probed == []
     assert job.avoid == {"b"}
 
 
@@ -208,26 +208,26 @@
     assert job.current.arrivals.empty()
 
 
-class Mute:
+class OneSilent:
     """Reports of endpoints of which one never answers, and the others do at once."""
 
     def __init__(self, dead: str) -> None:
         self.dead = dead
-        self.asked: list[str] = []
+        self.probed: list[str] = []
 
     async def report(self, address: str, patience: float):
-        self.asked.append(address)
+        self.probed.append(address)
         if address == self.dead:
             await asyncio.Event().wait()
         return EngineReport()
 
 
-def streams_cut_off(watcher):
+def silence_two_streams(watcher):
     """Let two of three streams fall silent for 0.2 seconds; return their requests.
 
     The endpoint on both their paths leaves the first question without an answer.
     """
-    watcher.reports = Mute("x:1")
+    watcher.reports = OneSilent("x:1")
     paths = [path_of("a", "x"), path_of("b", "x"), path_of("c")]
     jobs = [make_job(path) for path in paths]
 
@@ -238,8 +238,8 @@
             watcher.begin(job, -0.2)
             watcher.progress(job, -0.2)
         watcher.progress(jobs[2], -0.01)
-        watcher.look(0.0)
-        while watcher.reports.asked.count("x:1") < 2:
+        watcher.check(0.0)
+        while watcher.reports.probed.count("x:1") < 2:
             await asyncio.sleep(0.001)
 
     asyncio.run(run())
@@ -248,13 +248,13 @@
 
 
 def test_streams_behind_an_endpoint_without_answer_move_on_an_idle_fleet(make_watcher):
-    first, second = streams_cut_off(make_watcher(EngineReport(), idle=True))
+    first, second = silence_two_streams(make_watcher(EngineReport(), idle=True))
     assert (first.avoid, second.avoid) == ({"x"}, {"x"})
     assert isinstance(first.current.arrivals.get_nowait(), Stalled)
 
 
 def test_streams_behind_an_endpoint_without_answer_stay_on_a_busy_fleet(make_watcher):
-    jobs = streams_cut_off(make_watcher(EngineReport(), idle=False))
+    jobs = silence_two_streams(make_watcher(EngineReport(), idle=False))
     assert all(job.current.arrivals.empty() for job in jobs)
 
 
@@ -283,10 +283,10 @@
 
     def __init__(self, dead: str) -> None:
         self.dead = dead
-        self.asked: list[str] = []
+        self.probed: list[str] = []
 
     async def report(self, address: str, patience: float):
-        self.asked.append(address)
+        self.probed.append(address)
         await asyncio.sleep(0)
         return Unavailable("refused") if address == self.dead else EngineReport()
 
@@ -343,12 +343,12 @@
     async def run():
         watcher.begin(job, later)
         watcher.progress(job, later)
-        watcher.look(later)
+        watcher.check(later)
         for _ in range(TURNS):
             await asyncio.sleep(0)
 
     asyncio.run(run())
-    assert watcher.reports.asked == ["a:1"]
+    assert watcher.reports.probed == ["a:1"]
 
 
 def test_an_endpoint_that_is_left_out_already_is_not_asked(make_watcher):
@@ -363,12 +363,12 @@
         heard = make_job(path_of("c"))
         watcher.begin(heard, 0.19)
         watcher.progress(heard, 0.19)
-        watcher.look(0.2)
+        watcher.check(0.2)
         for _ in range(TURNS):
             await asyncio.sleep(0)
 
     asyncio.run(run())
-    assert "x:1" not in watcher.reports.asked
+    assert "x:1" not in watcher.reports.probed
 
 
 def test_an_endpoint_that_only_takes_no_new_work_is_asked_before_streams_move(
@@ -379,6 +379,6 @@
     watcher.suspects.suspect("b", "ordered to move", 0.0)
     job = make_job(path_of("a", "b"))
     watched_until(watcher, job, 0.2)
-    assert watcher.reports.asked == ["a:1", "b:1"]
+    assert watcher.reports.probed == ["a:1", "b:1"]
     assert job.current.arrivals.empty()
     assert job.avoid == set()
