--- a/packages/relay/src/lacewingcourse/relay/causes.py
+++ b/packages/relay/src/lacewingcourse/relay/causes.py
@@ -15,11 +15,11 @@
 
 #: Seconds around the loss of a run in which a suspicion of an endpoint explains it.
 #: Questions are answered, and suspicions told, within a fraction of a second.
-SUSPICION_NEAR = 1.0
+SUSPICION_WINDOW = 1.0
 #: Share of the objective spent waiting for room from which that is the cause.
 WAIT_SHARE = 0.5
 #: Entries that are named for each cause.
-MOST_ENTRIES = 5
+MAX_SHOWN_ENTRIES = 5
 #: Cause of a request that came in time.
 IN_TIME = "in time"
 #: Cause of one that nothing explains.
@@ -27,7 +27,7 @@
 
 
 @attrs.define
-class Fate:
+class RequestHistory:
     """What the log lines tell of one request.
 
     Attributes:
@@ -50,7 +50,7 @@
     pause: float = 0.0
 
     @property
-    def at(self) -> float:
+    def last_line_at(self) -> float:
         """Time of its last line, seconds."""
         lines = [*self.sends, *self.losses, *([self.end] if self.end else [])]
         return max(line["time"] for line in lines)
@@ -85,22 +85,22 @@
         return self.sends[0].get("waited_ms", 0.0) if self.sends else 0.0
 
     @property
-    def explained_losses(self) -> bool:
+    def has_explained_loss(self) -> bool:
         """Whether an endpoint was found dead around the loss of one of its runs."""
         return any(
-            line.get("fault") or self._suspected_near(line["time"])
+            line.get("fault") or self._suspected_around(line["time"])
             for line in self.losses
         )
 
-    def _suspected_near(self, at: float) -> bool:
+    def _suspected_around(self, at: float) -> bool:
         """Tell whether an endpoint was found dead around some time.
 
         The times are in order, so the first one that is not too early decides.
         """
-        index = bisect_left(self.suspicions, at - SUSPICION_NEAR)
+        index = bisect_left(self.suspicions, at - SUSPICION_WINDOW)
         return (
             index < len(self.suspicions)
-            and self.suspicions[index] <= at + SUSPICION_NEAR
+            and self.suspicions[index] <= at + SUSPICION_WINDOW
         )
 
     @property
@@ -110,102 +110,108 @@
 
 
 #: Causes in the order in which they are asked; the first that applies counts.
-CAUSES: Registry[Callable[[Fate], bool]] = Registry("cause")
+CAUSES: Registry[Callable[[RequestHistory], bool]] = Registry("cause")
 
 
 @CAUSES.register("lost with its entry")
-def lost_with_entry(fate: Fate) -> bool:
+def lost_with_entry(history: RequestHistory) -> bool:
     """Tell whether its entry ended before it told the request's end."""
-    return fate.end is None
+    return history.end is None
 
 
 @CAUSES.register("caller left")
-def caller_left(fate: Fate) -> bool:
+def caller_left(history: RequestHistory) -> bool:
     """Tell whether the caller closed before the answer was whole."""
-    return fate.served and (bool(fate.end.get("gone")) or not fate.end.get("whole"))
+    return history.served and (
+        bool(history.end.get("gone")) or not history.end.get("whole")
+    )
 
 
 @CAUSES.register("broken off by its entry")
-def broken_off(fate: Fate) -> bool:
+def broken_off(history: RequestHistory) -> bool:
     """Tell whether its entry ended the answer before it was whole."""
-    return fate.end["event"] == "broken_off"
+    return history.end["event"] == "broken_off"
 
 
 @CAUSES.register(IN_TIME)
-def in_time(fate: Fate) -> bool:
+def in_time(history: RequestHistory) -> bool:
     """Tell whether it was answered within its objective and without a long pause."""
-    return fate.served and fate.first_ms <= fate.objective and fate.gap_ms <= fate.pause
+    return (
+        history.served
+        and history.first_ms <= history.objective
+        and history.gap_ms <= history.pause
+    )
 
 
 @CAUSES.register("not allowed by the configuration")
-def not_allowed(fate: Fate) -> bool:
+def not_allowed(history: RequestHistory) -> bool:
     """Tell whether no route or key allowed it."""
-    return fate.refused_kind in ("unknown_resource", "unauthenticated")
+    return history.refused_kind in ("unknown_resource", "unauthenticated")
 
 
 @CAUSES.register("refused while leaving")
-def refused_while_leaving(fate: Fate) -> bool:
+def refused_while_leaving(history: RequestHistory) -> bool:
     """Tell whether its entry was about to end."""
-    return fate.refused_kind == "draining"
+    return history.refused_kind == "draining"
 
 
 @CAUSES.register("refused at the limit of an endpoint")
-def refused_at_limit(fate: Fate) -> bool:
+def refused_at_limit(history: RequestHistory) -> bool:
     """Tell whether it was kept from an endpoint by the limit that this names."""
-    return fate.refused_kind == "overloaded" and bool(fate.end.get("limited"))
+    return history.refused_kind == "overloaded" and bool(history.end.get("limited"))
 
 
 @CAUSES.register("refused for want of room")
-def refused_for_room(fate: Fate) -> bool:
+def refused_for_room(history: RequestHistory) -> bool:
     """Tell whether no path had memory for it in time."""
-    return fate.refused_kind == "overloaded"
+    return history.refused_kind == "overloaded"
 
 
 @CAUSES.register("refused without a path")
-def refused_without_path(fate: Fate) -> bool:
+def refused_without_path(history: RequestHistory) -> bool:
     """Tell whether no endpoints held every layer, or none served the call."""
-    return fate.refused_kind in ("no_route", "not_ready")
+    return history.refused_kind in ("no_route", "not_ready")
 
 
 @CAUSES.register("failed at endpoints")
-def failed_at_endpoints(fate: Fate) -> bool:
+def failed_at_endpoints(history: RequestHistory) -> bool:
     """Tell whether it ended without an answer after it had been sent."""
-    return bool(fate.refused_kind)
+    return bool(history.refused_kind)
 
 
 @CAUSES.register("cut by a lost endpoint, then late")
-def cut_by_loss(fate: Fate) -> bool:
+def cut_by_loss(history: RequestHistory) -> bool:
     """Tell whether a run was lost when an endpoint was found dead."""
-    return bool(fate.losses) and fate.explained_losses
+    return bool(history.losses) and history.has_explained_loss
 
 
 @CAUSES.register("run given up though no endpoint was found dead, then late")
-def given_up(fate: Fate) -> bool:
+def given_up(history: RequestHistory) -> bool:
     """Tell whether a run was lost without any suspicion."""
-    return bool(fate.losses)
+    return bool(history.losses)
 
 
 @CAUSES.register("waited for room, then late")
-def waited_for_room(fate: Fate) -> bool:
+def waited_for_room(history: RequestHistory) -> bool:
     """Tell whether most of its objective passed before it was sent."""
-    return fate.waited_ms > WAIT_SHARE * fate.objective
+    return history.waited_ms > WAIT_SHARE * history.objective
 
 
 @CAUSES.register("slow first event")
-def slow_first(fate: Fate) -> bool:
+def slow_first(history: RequestHistory) -> bool:
     """Tell whether the endpoints took long for its first event."""
-    return fate.first_ms > fate.objective
+    return history.first_ms > history.objective
 
 
 @CAUSES.register("long pause on one run")
-def long_pause(fate: Fate) -> bool:
+def long_pause(history: RequestHistory) -> bool:
     """Tell whether its endpoints paused for long."""
-    return fate.gap_ms > fate.pause
+    return history.gap_ms > history.pause
 
 
-def fates_of(
+def histories_of(
     lines: Iterable[dict[str, Any]], objective: float, pause: float
-) -> list[Fate]:
+) -> list[RequestHistory]:
     """Return what became of every request that log lines tell of.
 
     Args:
@@ -213,7 +219,7 @@
         objective: Milliseconds in which a first event is wanted.
         pause: Milliseconds that may pass between two events.
     """
-    found: dict[str, Fate] = {}
+    found: dict[str, RequestHistory] = {}
     suspicions: list[float] = []
     for line in lines:
         event, request = line["event"], line.get("request")
@@ -221,26 +227,26 @@
             suspicions.append(line["time"])
         if not request:
             continue
-        fate = found.get(request)
-        if fate is None:
-            fate = found[request] = Fate(
+        history = found.get(request)
+        if history is None:
+            history = found[request] = RequestHistory(
                 request, suspicions=suspicions, objective=objective, pause=pause
             )
         if event == "sent":
-            fate.sends.append(line)
+            history.sends.append(line)
         elif event == "lost":
-            fate.losses.append(line)
+            history.losses.append(line)
         elif event in ("served", "refused", "broken_off"):
-            fate.end = line
-            fate.objective = line.get("objective_ms") or objective
-            fate.pause = line.get("pause_ms") or pause
+            history.end = line
+            history.objective = line.get("objective_ms") or objective
+            history.pause = line.get("pause_ms") or pause
     return list(found.values())
 
 
-def cause_of(fate: Fate) -> str:
+def cause_of(history: RequestHistory) -> str:
     """Return the first cause that applies to a request."""
     for name, applies in CAUSES.members.items():
-        if applies(fate):
+        if applies(history):
             return name
     return UNKNOWN
 
@@ -259,20 +265,22 @@
     first_at: float = float("inf")
     last_at: float = float("-inf")
 
-    def add(self, fate: Fate) -> None:
+    def add(self, history: RequestHistory) -> None:
         """Count a request."""
-        self.entries[fate.entry] += 1
-        self.first_at = min(self.first_at, fate.at)
-        self.last_at = max(self.last_at, fate.at)
+        self.entries[history.entry] += 1
+        self.first_at = min(self.first_at, history.last_line_at)
+        self.last_at = max(self.last_at, history.last_line_at)
 
-    def where(self, since: float) -> str:
+    def describe(self, since: float) -> str:
         """Return at which entries and when, in seconds after some time."""
-        shown = ", ".join(f"{e} {n}" for e, n in self.entries.most_common(MOST_ENTRIES))
+        shown = ", ".join(
+            f"{e} {n}" for e, n in self.entries.most_common(MAX_SHOWN_ENTRIES)
+        )
         span = f"{self.first_at - since:.1f} to {self.last_at - since:.1f} s"
         return f"at {len(self.entries)} entries from {span}; most at {shown}"
 
 
-def summary_of(fates: Iterable[Fate], seconds: float) -> list[str]:
+def summary_of(histories: Iterable[RequestHistory], seconds: float) -> list[str]:
     """Return how many requests each cause has, where and when, as lines.
 
     Args:
@@ -281,10 +289,10 @@
     """
     tallies: dict[str, CauseTally] = defaultdict(CauseTally)
     spans: dict[int, Counter[str]] = defaultdict(Counter)
-    for fate in fates:
-        cause = cause_of(fate)
-        tallies[cause].add(fate)
-        spans[int(fate.at // seconds)][cause] += 1
+    for history in histories:
+        cause = cause_of(history)
+        tallies[cause].add(history)
+        spans[int(history.last_line_at // seconds)][cause] += 1
     count = sum(tally.entries.total() for tally in tallies.values())
     since = min(spans, default=0) * seconds
     ordered = sorted(tallies.items(), key=lambda each: -each[1].entries.total())
@@ -293,7 +301,7 @@
         number = tally.entries.total()
         lines.append(f"{number:7} {number / count:7.1%}  {cause}")
         if cause != IN_TIME:
-            lines.append(f"{'':17}{tally.where(since)}")
+            lines.append(f"{'':17}{tally.describe(since)}")
     for span in sorted(spans):
         causes = [f"{c} {n}" for c, n in spans[span].most_common() if c != IN_TIME]
         if causes:
--- a/packages/relay/src/lacewingcourse/relay/explain.py
+++ b/packages/relay/src/lacewingcourse/relay/explain.py
@@ -9,21 +9,21 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
 
-from lacewingcourse.relay.causes import fates_of, summary_of
+from lacewingcourse.relay.causes import histories_of, summary_of
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
 #: Seconds before a request's first line in which changes of belief are told with it.
-BELIEFS_BEFORE = 3.0
+CONTEXT_SECONDS = 3.0
 #: Events that tell of a change of what an entry believes.
-BELIEF_EVENTS = frozenset(
+CONTEXT_EVENTS = frozenset(
     {"configuration", "configuration_source_lost", "configuration_source_regained"}
     | {"directory_lost", "directory_regained", "endpoint_gone", "endpoint_lapsed"}
     | {"suspected", "limit", "duty_taken", "order", "leaving", "started", "reloaded"}
 )
 #: Fields that every line has and the story need not repeat.
-PLAIN_FIELDS = frozenset({"time", "level", "event", "process", "request"})
+COMMON_FIELDS = frozenset({"time", "level", "event", "process", "request"})
 #: Exit code for an identifier without any line.
 UNKNOWN_REQUEST = 1
 #: Exit code for arguments that cannot be used.
@@ -68,30 +68,30 @@
         lines = self._read(files)
         if lines is None:
             return BAD_ARGUMENTS
-        told = story_of(self.argument("request"), lines)
-        if not told:
+        timeline = timeline_of(self.argument("request"), lines)
+        if not timeline:
             self.line_error(f"no line tells of {self.argument('request')!r}")
             return UNKNOWN_REQUEST
-        for line in told:
+        for line in timeline:
             self.line(line)
         return 0
 
     def _summarise(self) -> int:
         """Print the causes of all requests of the log files."""
-        figures = {}
+        values = {}
         for name in ("objective", "pause", "span"):
             try:
-                figures[name] = float(self.option(name))
+                values[name] = float(self.option(name))
             except ValueError:
-                figures[name] = 0.0
-            if figures[name] <= 0:
+                values[name] = 0.0
+            if values[name] <= 0:
                 self.line_error(f"--{name} is {self.option(name)!r}, no number above 0")
                 return BAD_ARGUMENTS
         lines = self._read([self.argument("request"), *self.argument("files")])
         if lines is None:
             return BAD_ARGUMENTS
-        fates = fates_of(lines, figures["objective"], figures["pause"])
-        for line in summary_of(fates, figures["span"]):
+        histories = histories_of(lines, values["objective"], values["pause"])
+        for line in summary_of(histories, values["span"]):
             self.line(line)
         return 0
 
@@ -119,7 +119,7 @@
     return sorted(lines, key=lambda line: line["time"])
 
 
-def story_of(request: str, lines: list[dict[str, Any]]) -> list[str]:
+def timeline_of(request: str, lines: list[dict[str, Any]]) -> list[str]:
     """Return the lines of a request, with the beliefs that came before or meanwhile.
 
     Args:
@@ -130,17 +130,17 @@
     if not own:
         return []
     first = own[0]["time"] - own[0].get("took_ms", 0.0) / 1000
-    since, until = first - BELIEFS_BEFORE, own[-1]["time"]
+    since, until = first - CONTEXT_SECONDS, own[-1]["time"]
     entries = {line["process"] for line in own}
-    told = [
+    timeline = [
         line
         for line in lines
         if line.get("request") == request
-        or line["event"] in BELIEF_EVENTS
+        or line["event"] in CONTEXT_EVENTS
         and line["process"] in entries
         and since <= line["time"] <= until
     ]
-    return [_shown(line, first) for line in told]
+    return [_format_line(line, first) for line in timeline]
 
 
 def _decode(line: bytes) -> dict[str, Any] | None:
@@ -155,12 +155,12 @@
     return found if "event" in found and "process" in found else None
 
 
-def _shown(line: dict[str, Any], first: float) -> str:
+def _format_line(line: dict[str, Any], first: float) -> str:
     """Return a line as people read it, with milliseconds since the request came."""
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.items()
-        if name not in PLAIN_FIELDS and value not in (None, "", [])
+        if name not in COMMON_FIELDS and value not in (None, "", [])
     )
     passed = (line["time"] - first) * 1000
     return f"{passed:+10.1f} ms  {line['process']}  {line['event']}  {fields}"
--- a/packages/relay/tests/relay/test_causes.py
+++ b/packages/relay/tests/relay/test_causes.py
@@ -7,7 +7,12 @@
 import pytest
 from cleo.testers.command_tester import CommandTester
 
-from lacewingcourse.relay.causes import Fate, cause_of, fates_of, summary_of
+from lacewingcourse.relay.causes import (
+    RequestHistory,
+    cause_of,
+    histories_of,
+    summary_of,
+)
 from lacewingcourse.relay.explain import ExplainCommand
 
 #: A send of a stream and its end, as entries write them.
@@ -79,8 +84,8 @@
     ],
 )
 def test_a_request_has_the_first_cause_that_applies(lines, cause):
-    (fate,) = fates_of(lines, objective=500.0, pause=200.0)
-    assert cause_of(fate) == cause
+    (history,) = histories_of(lines, objective=500.0, pause=200.0)
+    assert cause_of(history) == cause
 
 
 def test_a_summary_adds_up_to_all_requests():
@@ -90,8 +95,8 @@
         *({**SERVED, "request": f"r{n}", "first_ms": 700.0} for n in range(3)),
         {**refused("draining"), "request": "s", "time": 14.5},
     ]
-    told = summary_of(fates_of(lines, 500.0, 200.0), seconds=2.0)
-    assert told == [
+    summary = summary_of(histories_of(lines, 500.0, 200.0), seconds=2.0)
+    assert summary == [
         "5 requests",
         "      3   60.0%  slow first event",
         "                 at 1 entries from 0.0 to 0.0 s; most at edge-1 3",
@@ -116,8 +121,8 @@
 def test_lines_tell_what_their_route_allows():
     """So one summary holds for routes with different objectives."""
     slow = SERVED | {"first_ms": 700.0, "objective_ms": 800.0, "pause_ms": 300.0}
-    (fate,) = fates_of([SENT, slow], 500.0, 200.0)
-    assert cause_of(fate) == "in time"
+    (history,) = histories_of([SENT, slow], 500.0, 200.0)
+    assert cause_of(history) == "in time"
 
 
 def test_a_cause_is_told_with_its_entries_and_times():
@@ -125,8 +130,8 @@
         SERVED | {"request": f"r{n}", "process": f"edge-{n % 2}", "time": 20.0 + n}
         for n in range(3)
     ]
-    fates = fates_of([end | {"first_ms": 700.0} for end in ends], 500.0, 200.0)
-    lines = summary_of(fates, 2.0)
+    histories = histories_of([end | {"first_ms": 700.0} for end in ends], 500.0, 200.0)
+    lines = summary_of(histories, 2.0)
     assert "at 2 entries from 0.0 to 2.0 s; most at edge-0 2, edge-1 1" in lines[2]
 
 
@@ -141,8 +146,8 @@
             return super().__getitem__(index)
 
     times = Times(float(n) for n in range(4096))
-    fate = Fate("r", losses=[LOST | {"time": 3000.2}], suspicions=times)
-    assert fate.explained_losses
+    history = RequestHistory("r", losses=[LOST | {"time": 3000.2}], suspicions=times)
+    assert history.has_explained_loss
     assert times.looks < 20
 
 
--- a/packages/relay/tests/relay/test_explain.py
+++ b/packages/relay/tests/relay/test_explain.py
@@ -4,7 +4,7 @@
 
 import json
 
-from lacewingcourse.relay.explain import read_lines, story_of
+from lacewingcourse.relay.explain import read_lines, timeline_of
 
 
 def line(at, event, process="edge-1", **fields):
@@ -32,15 +32,15 @@
         line(9.5, "refused", request="r", kind="stage_lost", took_ms=600.0),
         line(9.6, "endpoint_gone", endpoint="e3"),
     ]
-    told = story_of("r", lines)
-    assert [text.split()[3] for text in told] == [
+    timeline = timeline_of("r", lines)
+    assert [text.split()[3] for text in timeline] == [
         "suspected",
         "sent",
         "lost",
         "refused",
     ]
-    assert "kind=stage_lost" in told[-1]
+    assert "kind=stage_lost" in timeline[-1]
 
 
 def test_an_unknown_request_has_no_story():
-    assert story_of("r", [line(1.0, "started")]) == []
+    assert timeline_of("r", [line(1.0, "started")]) == []
