--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -22,7 +22,7 @@
         return self.now
 
 
-def no_holder(name: str, book: PeerBook, clock: Clock) -> SimpleNamespace:
+def holder_stub(name: str, book: PeerBook, clock: Clock) -> SimpleNamespace:
     """Return what stands for the holder of the duty where no test looks at it."""
     return SimpleNamespace(lease=None, released=0, hear=lambda *news: None)
 
@@ -37,7 +37,7 @@
         make_holder: Returns what an entry knows of the holder of the duty.
     """
 
-    def __init__(self, zones: dict[str, int], make_holder=no_holder) -> None:
+    def __init__(self, zones: dict[str, int], make_holder=holder_stub) -> None:
         self.clock = Clock()
         self.make_holder = make_holder
         self.entries: dict[str, Gossip] = {}
--- a/packages/relay/tests/relay/stream_scenario.py
+++ b/packages/relay/tests/relay/stream_scenario.py
@@ -37,9 +37,9 @@
 from .routes import route_of
 
 #: Events of an answer.
-EVENTS = 20
+EVENT_COUNT = 20
 #: Seconds between two of them.
-STEP = 0.05
+EVENT_INTERVAL = 0.05
 #: A budget that allows retries without end, and one that allows none.
 UNLIMITED_RETRIES = 10_000.0
 NO_RETRIES = 0.0
@@ -80,7 +80,7 @@
     accepts_after: float = 0.0
 
 
-class Run:
+class EngineRun:
     """A run of a stream on an engine; stands for the exchange that carries it."""
 
     def __init__(self, engine: Engine, after: int, fresh: bool) -> None:
@@ -108,8 +108,8 @@
         if engine.breaks and engine.pause_after == 0:
             self.arrivals.put_nowait(End(False, "ended early"))
             return
-        for number in range(after + 1, EVENTS + 1):
-            await asyncio.sleep(STEP)
+        for number in range(after + 1, EVENT_COUNT + 1):
+            await asyncio.sleep(EVENT_INTERVAL)
             self._put(event(number))
             if number == engine.stops_after:
                 return
@@ -191,13 +191,13 @@
     engines: dict[str, Engine]
     slack: float = UNLIMITED_RETRIES
     room_available_at: float = 0.0
-    lacks_descriptors: tuple[float, float] = (0.0, 0.0)
+    descriptor_outage: tuple[float, float] = (0.0, 0.0)
     retry_safety: RetrySafety = RetrySafety.RESUMABLE_STREAM
     attempts: int = 2
     resume_after: str = ""
 
     def __attrs_post_init__(self) -> None:
-        self.runs: list[tuple[float, str, Run]] = []
+        self.runs: list[tuple[float, str, EngineRun]] = []
         self.caller = CallerStub()
         self.ended_at = 0.0
         self.pool = ConnectionPool()
@@ -215,7 +215,7 @@
     def clock(self) -> float:
         return asyncio.get_running_loop().time()
 
-    async def serve(self, *happenings) -> Refusal | None:
+    async def serve(self, *scheduled_calls) -> Refusal | None:
         """Serve the stream; return how it ended if not whole.
 
         Args:
@@ -241,7 +241,7 @@
             watcher,
             self.log,
         )
-        for at, call in happenings:
+        for at, call in scheduled_calls:
             asyncio.get_running_loop().call_at(at, call, watcher)
         self.job = self._job()
         ended = await forwarder.serve(self.job, self.shape)
@@ -252,7 +252,7 @@
         """Return what tells a watcher that endpoints are dead."""
         return lambda watcher: watcher._declare_dead(set(names), "no report")
 
-    def allow(self, slack: float):
+    def set_slack(self, slack: float):
         """Return what changes the retries that are allowed."""
 
         def change(watcher) -> None:
@@ -286,7 +286,7 @@
             received_at=0.0,
             resume_after=self.resume_after,
             answer_hint=None,
-            most_answer=EVENTS,
+            most_answer=EVENT_COUNT,
             prompt=100,
         )
         return Job(request, route, "rooms", Organisation(""), self.caller, False, 20.0)
@@ -304,12 +304,12 @@
         return AnswerHead(status, headers, standing)
 
     async def reserve(self, address, fresh) -> SimpleNamespace | NotSent:
-        start, end = self.lacks_descriptors
+        start, end = self.descriptor_outage
         if start <= self.clock() < end:
             return NotSent(Unsent.NO_DESCRIPTOR)
         return SimpleNamespace(close=lambda: None, reused=not fresh)
 
-    async def send(self, job, sending, fresh, reserved=None) -> Run | NotSent:
+    async def send(self, job, sending, fresh, reserved=None) -> EngineRun | NotSent:
         return await Sender.send(self, job, sending, fresh, reserved)
 
     #: What a send needs is decided as it really is.
@@ -320,10 +320,10 @@
     def limits(self) -> SendLimits:
         return self.beliefs.send_limits
 
-    def start(self, job, sending, connection) -> Run:
+    def start(self, job, sending, connection) -> EngineRun:
         name = sending.path.first.endpoint
         after = int(sending.resume_after or 0)
-        run = Run(self.engines.get(name, Engine()), after, not connection.reused)
+        run = EngineRun(self.engines.get(name, Engine()), after, not connection.reused)
         self.runs.append((self.clock(), name, run))
         return run
 
@@ -333,4 +333,4 @@
 
 def whole_answer() -> bytes:
     """Return what a caller has read of a whole answer."""
-    return b"".join(event(number) for number in range(1, EVENTS + 1))
+    return b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
--- a/packages/relay/tests/relay/test_retries_at_once.py
+++ b/packages/relay/tests/relay/test_concurrent_retries.py
@@ -17,7 +17,7 @@
 from lacewingcourse.relay.sending import WholeAnswer
 
 from .stream_scenario import (
-    STEP,
+    EVENT_INTERVAL,
     UNLIMITED_RETRIES,
     Engine,
     StreamScenario,
@@ -28,16 +28,16 @@
 
 #: Requests of an endpoint, and the retries that are left when it is lost.
 REQUESTS = 12
-LEFT = 4
+RETRIES_LEFT = 4
 #: Those of them that are kept for requests which cannot be refused truly.
-KEPT = 1
+RESERVED = 1
 #: Seconds that a connection takes.
-CONNECTING = 0.005
+CONNECT_SECONDS = 0.005
 #: When an endpoint is taken for dead, seconds.
 DEAD_AT = 0.4
 #: When a run breaks, and when one goes on after its pause, seconds.
-BREAKS_AT = CONNECTING + 5 * STEP
-GOES_ON_AT = BREAKS_AT + 0.4 + STEP
+BREAKS_AT = CONNECT_SECONDS + 5 * EVENT_INTERVAL
+GOES_ON_AT = BREAKS_AT + 0.4 + EVENT_INTERVAL
 #: Engines whose run breaks, and stands still for a moment, after an event.
 BREAKS = Engine(pause_after=5, breaks=True)
 PAUSES = Engine(pause_after=5, pause=0.4)
@@ -46,74 +46,75 @@
 
 
 @attrs.define(slots=False)
-class CutStream(StreamScenario):
+class SlowConnectStream(StreamScenario):
     """A stream whose connections take a while.
 
     Attributes:
         unreachable: Whether its second path cannot be reached.
-        alone: Whether endpoints have no room for two of its runs.
+        single_run: Whether endpoints have no room for two of its runs.
     """
 
     unreachable: bool = False
-    alone: bool = False
+    single_run: bool = False
 
     async def reserve(self, address, fresh):
-        await asyncio.sleep(CONNECTING)
+        await asyncio.sleep(CONNECT_SECONDS)
         if self.unreachable and address.startswith("c"):
             return NotSent(Unsent.UNREACHABLE)
         return await super().reserve(address, fresh)
 
     def _find(self, job, shape, demand, besides=()):
-        if self.alone and self.beliefs.loads.own:
+        if self.single_run and self.beliefs.loads.own:
             return Refusal(ErrorKind.OVERLOADED, "no path has memory")
         return super()._find(job, shape, demand, besides)
 
 
 @attrs.define(slots=False)
-class CutCall(CallPlay):
+class SlowConnectCall(CallPlay):
     """A call whose connections take a while."""
 
     async def reserve(self, address, fresh):
-        await asyncio.sleep(CONNECTING)
+        await asyncio.sleep(CONNECT_SECONDS)
         return await super().reserve(address, fresh)
 
 
 @pytest.fixture
 def budget() -> RetryBudget:
     """Return a budget with some retries left, whatever comes."""
-    return RetryBudget(0.0, 100.0, (LEFT + 0.01) / SAFETY_SHARE)
+    return RetryBudget(0.0, 100.0, (RETRIES_LEFT + 0.01) / SAFETY_SHARE)
 
 
 @pytest.fixture
 def streams(shape, budget):
     """Return a function that makes streams which share a budget."""
 
-    def make(engine, count=REQUESTS, second=None, **options) -> list[CutStream]:
+    def make(engine, count=REQUESTS, second=None, **options) -> list[SlowConnectStream]:
         engines = {"a": engine, "c": second or Engine()}
-        made = [CutStream(shape, engines, **options) for _ in range(count)]
-        for played in made:
-            played.budget = budget
+        made = [SlowConnectStream(shape, engines, **options) for _ in range(count)]
+        for scenario in made:
+            scenario.budget = budget
         return made
 
     return make
 
 
-def serve(made, *happenings) -> list:
+def serve(made, *scheduled_calls) -> list:
     """Serve requests together; return how each ended."""
 
     async def together():
-        return await asyncio.gather(*(one.serve(*happenings) for one in made))
+        return await asyncio.gather(*(one.serve(*scheduled_calls) for one in made))
 
     return play(together())
 
 
 def retries_of(streams) -> int:
     """Return the sends beyond the first of each stream."""
-    return sum(len(played.runs) - 1 for played in streams)
+    return sum(len(scenario.runs) - 1 for scenario in streams)
 
 
 @pytest.mark.parametrize(
-    ("engine", "left"), [(BREAKS, LEFT), (Engine(status=REJECTED), LEFT - KEPT)]
+    ("engine", "left"),
+    [(BREAKS, RETRIES_LEFT), (Engine(status=REJECTED), RETRIES_LEFT - RESERVED)],
 )
 def test_streams_cut_at_one_moment_stay_within_the_budget(
     streams, budget, engine, left
@@ -127,36 +128,38 @@
 def test_runs_that_are_dropped_at_one_moment_stay_within_the_budget(streams, budget):
     made = streams(BREAKS, second=Engine(drops=True))
     serve(made)
-    assert retries_of(made) == LEFT
-    assert len(budget.retries["rooms"]) == LEFT
+    assert retries_of(made) == RETRIES_LEFT
+    assert len(budget.retries["rooms"]) == RETRIES_LEFT
 
 
-@pytest.mark.parametrize("alone", [False, True])
-def test_streams_moved_at_one_moment_stay_within_the_budget(streams, budget, alone):
-    made = streams(PAUSES, alone=alone)
+@pytest.mark.parametrize("single_run", [False, True])
+def test_streams_moved_at_one_moment_stay_within_the_budget(
+    streams, budget, single_run
+):
+    made = streams(PAUSES, single_run=single_run)
     serve(made, (DEAD_AT, made[0].declare_dead("b")))
-    assert retries_of(made) == LEFT
-    assert len(budget.retries["rooms"]) == LEFT
-    assert all(played.caller.body == whole_answer() for played in made)
+    assert retries_of(made) == RETRIES_LEFT
+    assert len(budget.retries["rooms"]) == RETRIES_LEFT
+    assert all(scenario.caller.body == whole_answer() for scenario in made)
 
 
 def test_calls_left_at_one_moment_stay_within_the_budget(budget):
-    made = [CutCall() for _ in range(REQUESTS)]
-    for played in made:
-        played.budget = budget
+    made = [SlowConnectCall() for _ in range(REQUESTS)]
+    for scenario in made:
+        scenario.budget = budget
     ends = serve(made)
-    assert sum(len(played.sends) - 1 for played in made) == LEFT - KEPT
-    assert len(budget.retries["desk"]) == LEFT - KEPT
+    assert sum(len(scenario.sends) - 1 for scenario in made) == RETRIES_LEFT - RESERVED
+    assert len(budget.retries["desk"]) == RETRIES_LEFT - RESERVED
     assert all(isinstance(end, WholeAnswer) for end in ends)
 
 
 def test_calls_rejected_at_one_moment_stay_within_the_budget(budget):
-    made = [CutCall(status=REJECTED, slow=QUICK) for _ in range(REQUESTS)]
-    for played in made:
-        played.budget = budget
+    made = [SlowConnectCall(status=REJECTED, slow=QUICK) for _ in range(REQUESTS)]
+    for scenario in made:
+        scenario.budget = budget
     ends = serve(made)
-    assert sum(len(played.sends) - 1 for played in made) == LEFT - KEPT
-    assert len(budget.retries["desk"]) == LEFT - KEPT
+    assert sum(len(scenario.sends) - 1 for scenario in made) == RETRIES_LEFT - RESERVED
+    assert len(budget.retries["desk"]) == RETRIES_LEFT - RESERVED
     assert all(end.outcome is Outcome.NOT_RUN for end in ends)
 
 
@@ -165,39 +168,45 @@
     streams, budget, engine
 ):
     lost = streams(engine, unreachable=True)
-    made = streams(engine, LEFT)
+    made = streams(engine, RETRIES_LEFT)
     serve(lost + made, (DEAD_AT, made[0].declare_dead("b")))
     assert retries_of(lost) == 0
-    assert retries_of(made) == LEFT
+    assert retries_of(made) == RETRIES_LEFT
 
 
 @pytest.mark.parametrize("unreachable", [False, True])
 def test_runs_that_go_on_while_they_connect_leave_their_retries_to_others(
     streams, unreachable
 ):
-    going_on = streams(PAUSES, LEFT, unreachable=unreachable)
-    broken = streams(Engine(pause_after=15, breaks=True), LEFT)
+    going_on = streams(PAUSES, RETRIES_LEFT, unreachable=unreachable)
+    broken = streams(Engine(pause_after=15, breaks=True), RETRIES_LEFT)
     just_before = going_on[0].declare_dead("b")
-    serve(going_on + broken, (GOES_ON_AT - CONNECTING / 2, just_before))
+    serve(going_on + broken, (GOES_ON_AT - CONNECT_SECONDS / 2, just_before))
     assert retries_of(going_on) == 0
-    assert [played.firsts for played in broken] == [["a", "c"]] * LEFT
-    assert all(played.runs[1][0] < 2 * GOES_ON_AT for played in broken)
+    assert [scenario.firsts for scenario in broken] == [["a", "c"]] * RETRIES_LEFT
+    assert all(scenario.runs[1][0] < 2 * GOES_ON_AT for scenario in broken)
 
 
 def test_streams_that_lack_descriptors_leave_their_retries_to_others(streams):
-    lacking = streams(BREAKS, LEFT, lacks_descriptors=(BREAKS_AT, 2 * BREAKS_AT))
-    broken = streams(Engine(pause_after=5, pause=2 * CONNECTING, breaks=True), LEFT)
+    lacking = streams(
+        BREAKS, RETRIES_LEFT, descriptor_outage=(BREAKS_AT, 2 * BREAKS_AT)
+    )
+    broken = streams(
+        Engine(pause_after=5, pause=2 * CONNECT_SECONDS, breaks=True), RETRIES_LEFT
+    )
     serve(lacking + broken)
-    assert all(played.runs[1][0] < BREAKS_AT + 4 * CONNECTING for played in broken)
+    assert all(
+        scenario.runs[1][0] < BREAKS_AT + 4 * CONNECT_SECONDS for scenario in broken
+    )
 
 
 def test_calls_that_have_no_other_endpoint_leave_their_retries_to_others(budget):
-    lone = [CutCall(endpoints=1) for _ in range(REQUESTS)]
-    made = [CutCall() for _ in range(LEFT - KEPT)]
-    for played in lone + made:
-        played.budget = budget
+    lone = [SlowConnectCall(endpoints=1) for _ in range(REQUESTS)]
+    made = [SlowConnectCall() for _ in range(RETRIES_LEFT - RESERVED)]
+    for scenario in lone + made:
+        scenario.budget = budget
     serve(lone + made)
-    assert [len(played.sends) for played in made] == [2] * (LEFT - KEPT)
+    assert [len(scenario.sends) for scenario in made] == [2] * (RETRIES_LEFT - RESERVED)
 
 
 @pytest.fixture
@@ -214,50 +223,50 @@
 
 
 def test_a_call_whose_loan_ends_while_it_connects_is_refused(loan):
-    played = CutCall(status=REJECTED, slow=QUICK)
-    played.budget = loan(QUICK + 1.5 * CONNECTING)
-    (ended,) = serve([played])
-    assert len(played.sends) == 1
+    scenario = SlowConnectCall(status=REJECTED, slow=QUICK)
+    scenario.budget = loan(QUICK + 1.5 * CONNECT_SECONDS)
+    (ended,) = serve([scenario])
+    assert len(scenario.sends) == 1
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
     assert ended.outcome is Outcome.NOT_RUN
 
 
 def test_a_stream_whose_loan_ends_while_it_connects_waits_for_a_retry(streams, loan):
-    (played,) = streams(BREAKS, 1)
-    played.budget = loan(BREAKS_AT + CONNECTING / 2)
-    serve([played], (DEAD_AT, played.allow(UNLIMITED_RETRIES)))
-    assert played.firsts == ["a", "c"]
-    assert played.runs[1][0] > DEAD_AT
-    assert played.caller.body == whole_answer()
+    (scenario,) = streams(BREAKS, 1)
+    scenario.budget = loan(BREAKS_AT + CONNECT_SECONDS / 2)
+    serve([scenario], (DEAD_AT, scenario.set_slack(UNLIMITED_RETRIES)))
+    assert scenario.firsts == ["a", "c"]
+    assert scenario.runs[1][0] > DEAD_AT
+    assert scenario.caller.body == whole_answer()
 
 
-@pytest.mark.parametrize("alone", [False, True])
+@pytest.mark.parametrize("single_run", [False, True])
 def test_a_run_is_not_closed_for_one_whose_loan_ends_while_it_connects(
-    streams, loan, alone
+    streams, loan, single_run
 ):
-    (played,) = streams(PAUSES, 1, alone=alone)
-    played.budget = loan(DEAD_AT + CONNECTING / 2)
-    serve([played], (DEAD_AT, played.declare_dead("b")))
-    assert played.firsts == ["a"]
-    assert played.caller.body == whole_answer()
+    (scenario,) = streams(PAUSES, 1, single_run=single_run)
+    scenario.budget = loan(DEAD_AT + CONNECT_SECONDS / 2)
+    serve([scenario], (DEAD_AT, scenario.declare_dead("b")))
+    assert scenario.firsts == ["a"]
+    assert scenario.caller.body == whole_answer()
 
 
 @pytest.mark.parametrize("service", ["rooms", "desk"])
 def test_a_request_cancelled_while_it_connects_leaves_its_retry(
     streams, budget, service
 ):
-    calls = [CutCall(status=REJECTED, slow=QUICK)]
-    (played,) = streams(BREAKS, 1) if service == "rooms" else calls
-    played.budget = budget
+    calls = [SlowConnectCall(status=REJECTED, slow=QUICK)]
+    (scenario,) = streams(BREAKS, 1) if service == "rooms" else calls
+    scenario.budget = budget
 
     async def cancel() -> None:
-        serving = asyncio.ensure_future(played.serve())
+        serving = asyncio.ensure_future(scenario.serve())
         while not budget.holds.get(service):
             assert not serving.done()
-            await asyncio.sleep(CONNECTING / 2)
+            await asyncio.sleep(CONNECT_SECONDS / 2)
         serving.cancel()
         await asyncio.wait({serving})
 
     play(cancel())
     assert not budget.holds[service]
-    assert sum(budget.take(service, 1.0) for _ in range(REQUESTS)) == LEFT
+    assert sum(budget.take(service, 1.0) for _ in range(REQUESTS)) == RETRIES_LEFT
--- a/packages/relay/tests/relay/test_secured.py
+++ b/packages/relay/tests/relay/test_failover_safety.py
@@ -23,7 +23,7 @@
     NO_RETRIES,
     UNLIMITED_RETRIES,
     Engine,
-    Run,
+    EngineRun,
     StreamScenario,
     whole_answer,
 )
@@ -32,11 +32,11 @@
 SHORT_PAUSE = Engine(pause_after=5, pause=0.4)
 IN_PAUSE = 0.4
 #: A budget without a share of requests that allows exactly one retry (0.7 * 2 >= 1).
-ONE = 2.0
+ONE_RETRY = 2.0
 
 
 @attrs.define(slots=False)
-class Unreachable(StreamScenario):
+class UnreachableStream(StreamScenario):
     """Connections to some first parts cannot be made; each try takes 0.35 s."""
 
     gone: tuple[str, ...] = ()
@@ -49,80 +49,84 @@
 
 
 def test_a_run_is_not_closed_for_a_first_part_that_cannot_be_reached(shape):
-    played = Unreachable(shape, {"a": SHORT_PAUSE}, slack=ONE, gone=("c",))
-    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
-    assert played.caller.body == whole_answer()
+    scenario = UnreachableStream(
+        shape, {"a": SHORT_PAUSE}, slack=ONE_RETRY, gone=("c",)
+    )
+    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    assert scenario.caller.body == whole_answer()
 
 
 def test_a_run_is_not_closed_for_an_engine_that_then_rejects(shape):
     """The engine of the next path has no room, which only its answer tells."""
     engines = {"a": SHORT_PAUSE, "c": Engine(status=503)}
-    played = StreamScenario(shape, engines, slack=ONE)
-    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
-    assert played.caller.body == whole_answer()
+    scenario = StreamScenario(shape, engines, slack=ONE_RETRY)
+    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    assert scenario.caller.body == whole_answer()
 
 
-SLOW = Engine(accepts_after=0.3)
+SLOW_START = Engine(accepts_after=0.3)
 
 
 def test_a_run_is_closed_once_the_next_one_was_accepted(shape):
-    engines = {"a": Engine(stops_after=5), "c": SLOW}
-    played = StreamScenario(shape, engines)
+    engines = {"a": Engine(stops_after=5), "c": SLOW_START}
+    scenario = StreamScenario(shape, engines)
     first = []
 
     def look(watcher) -> None:
-        first.extend(run.abandoned for _, _, run in played.runs)
+        first.extend(run.abandoned for _, _, run in scenario.runs)
 
-    play(played.serve((IN_PAUSE, played.declare_dead("b")), (IN_PAUSE + 0.2, look)))
+    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b")), (IN_PAUSE + 0.2, look)))
     assert first == [False, False]
-    assert [run.abandoned for _, _, run in played.runs] == [True, False]
-    assert played.caller.body == whole_answer()
+    assert [run.abandoned for _, _, run in scenario.runs] == [True, False]
+    assert scenario.caller.body == whole_answer()
 
 
 def test_a_run_that_goes_on_before_the_next_one_was_accepted_is_kept(shape):
-    engines = {"a": SHORT_PAUSE, "c": SLOW}
-    played = StreamScenario(shape, engines)
-    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
-    assert [run.abandoned for _, _, run in played.runs] == [False, True]
-    assert played.caller.body == whole_answer()
+    engines = {"a": SHORT_PAUSE, "c": SLOW_START}
+    scenario = StreamScenario(shape, engines)
+    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    assert [run.abandoned for _, _, run in scenario.runs] == [False, True]
+    assert scenario.caller.body == whole_answer()
 
 
 def test_an_engine_that_ends_its_run_leaves_the_one_begun_beside_it(shape):
-    engines = {"a": Engine(pause_after=5, pause=0.3, breaks=True), "c": SLOW}
-    played = StreamScenario(shape, engines)
-    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
-    assert played.firsts == ["a", "c"]
-    assert played.caller.body == whole_answer()
+    engines = {"a": Engine(pause_after=5, pause=0.3, breaks=True), "c": SLOW_START}
+    scenario = StreamScenario(shape, engines)
+    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    assert scenario.firsts == ["a", "c"]
+    assert scenario.caller.body == whole_answer()
 
 
 def test_an_engine_that_drops_the_next_run_costs_no_attempt(shape):
     engines = {"a": Engine(stops_after=5), "c": Engine(drops=True)}
-    played = StreamScenario(shape, engines)
-    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
-    assert played.caller.body == whole_answer()
-    assert played.job.sends == 2
+    scenario = StreamScenario(shape, engines)
+    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    assert scenario.caller.body == whole_answer()
+    assert scenario.job.sends == 2
 
 
 def test_a_caller_that_leaves_ends_both_runs(shape):
-    played = StreamScenario(shape, {"a": Engine(stops_after=5), "c": SLOW})
+    scenario = StreamScenario(shape, {"a": Engine(stops_after=5), "c": SLOW_START})
 
     def leave(watcher) -> None:
-        played.caller.gone = True
-        played.job.caller_gone()
+        scenario.caller.gone = True
+        scenario.job.caller_gone()
 
-    play(played.serve((IN_PAUSE, played.declare_dead("b")), (IN_PAUSE + 0.1, leave)))
-    assert [run.abandoned for _, _, run in played.runs] == [True, True]
+    play(
+        scenario.serve((IN_PAUSE, scenario.declare_dead("b")), (IN_PAUSE + 0.1, leave))
+    )
+    assert [run.abandoned for _, _, run in scenario.runs] == [True, True]
 
 
-@pytest.mark.parametrize("engine", [SLOW, Engine(status=503), Engine(drops=True)])
+@pytest.mark.parametrize("engine", [SLOW_START, Engine(status=503), Engine(drops=True)])
 def test_what_runs_beside_one_another_leaves_no_load(shape, engine):
-    played = StreamScenario(shape, {"a": SHORT_PAUSE, "c": engine})
-    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
-    assert played.beliefs.loads.own == {}
+    scenario = StreamScenario(shape, {"a": SHORT_PAUSE, "c": engine})
+    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    assert scenario.beliefs.loads.own == {}
 
 
 @attrs.define(slots=False)
-class Narrow(StreamScenario):
+class SingleRunStream(StreamScenario):
     """Endpoints whose memory holds one run of the stream."""
 
     def _find(self, job, shape, demand, besides=()):
@@ -133,52 +137,52 @@
 
 
 def test_a_run_gives_way_to_one_that_has_no_room_beside_it(shape):
-    played = Narrow(shape, {"a": Engine(stops_after=5), "c": SLOW})
-    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
-    (_, _, first), (begun_at, _, _) = played.runs
+    scenario = SingleRunStream(shape, {"a": Engine(stops_after=5), "c": SLOW_START})
+    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    (_, _, first), (begun_at, _, _) = scenario.runs
     assert first.abandoned
     assert begun_at < IN_PAUSE + 0.1
-    assert played.caller.body == whole_answer()
+    assert scenario.caller.body == whole_answer()
 
 
 def test_a_send_that_never_left_takes_no_retry(shape):
-    played = Unreachable(
+    scenario = UnreachableStream(
         shape,
         {"a": Engine(pause_after=5, breaks=True)},
         slack=UNLIMITED_RETRIES,
         gone=("c",),
     )
-    play(played.serve())
-    assert len(played.budget.retries.get("rooms", ())) == 0
+    play(scenario.serve())
+    assert len(scenario.budget.retries.get("rooms", ())) == 0
 
 
 def test_waiting_for_a_descriptor_takes_no_repeats(shape):
     engine = Engine(pause_after=5, breaks=True)
-    played = StreamScenario(shape, {"a": engine}, lacks_descriptors=(0.1, 1.0))
-    play(played.serve())
-    assert len(played.budget.retries["rooms"]) == 1
+    scenario = StreamScenario(shape, {"a": engine}, descriptor_outage=(0.1, 1.0))
+    play(scenario.serve())
+    assert len(scenario.budget.retries["rooms"]) == 1
 
 
 def test_waiting_for_a_descriptor_ends_with_the_time_of_the_route(shape):
     engine = Engine(pause_after=5, breaks=True)
-    played = StreamScenario(shape, {"a": engine}, lacks_descriptors=(0.1, 60.0))
-    play(played.serve())
-    assert played.ended_at <= 20.1
+    scenario = StreamScenario(shape, {"a": engine}, descriptor_outage=(0.1, 60.0))
+    play(scenario.serve())
+    assert scenario.ended_at <= 20.1
 
 
 def test_waiting_for_a_descriptor_ends_when_the_caller_has_left(shape):
     engine = Engine(pause_after=5, breaks=True)
-    played = StreamScenario(shape, {"a": engine}, lacks_descriptors=(0.1, 10.0))
+    scenario = StreamScenario(shape, {"a": engine}, descriptor_outage=(0.1, 10.0))
 
     def leave(watcher) -> None:
-        played.caller.gone = True
+        scenario.caller.gone = True
 
-    play(played.serve((1.0, leave)))
-    assert played.ended_at <= 1.5
+    play(scenario.serve((1.0, leave)))
+    assert scenario.ended_at <= 1.5
 
 
 @attrs.define(slots=False)
-class Failing(StreamScenario):
+class OwnErrorStream(StreamScenario):
     """Engines whose answers without success are their own, signed ones."""
 
     def _head(self, status, headers, request) -> AnswerHead:
@@ -187,12 +191,12 @@
 
 @pytest.mark.parametrize("status", [422, 500])
 def test_an_engines_own_answer_is_kept_until_another_may_be_asked(shape, status):
-    played = Failing(shape, {"a": Engine(status=status)}, slack=NO_RETRIES)
-    play(played.serve())
-    assert played.caller.status == status
+    scenario = OwnErrorStream(shape, {"a": Engine(status=status)}, slack=NO_RETRIES)
+    play(scenario.serve())
+    assert scenario.caller.status == status
 
 
-class HeldRun(Run):
+class LateClosedRun(EngineRun):
     """A run over a kept connection that the engine ends late, before its head."""
 
     def __init__(self, after: int, held: float) -> None:
@@ -206,50 +210,50 @@
 
 
 @attrs.define(slots=False)
-class Held(StreamScenario):
+class LateClosedStream(StreamScenario):
     """The first run stands still behind b and is ended without a head after a while."""
 
     async def send(self, request, sending, fresh, reserved=None):
         name = sending.path.first.endpoint
         if name == "a" and not fresh:
-            run = HeldRun(0, 1.0)
+            run = LateClosedRun(0, 1.0)
             self.runs.append((self.clock(), name, run))
             return run
         return await super().send(request, sending, fresh, reserved)
 
 
 def test_a_run_that_stood_still_is_not_sent_again_on_the_path_of_a_dead_part(shape):
-    played = Held(shape, {"a": Engine()}, room_available_at=1.2)
-    play(played.serve((0.2, played.declare_dead("b"))))
-    assert played.firsts.count("a") == 1
+    scenario = LateClosedStream(shape, {"a": Engine()}, room_available_at=1.2)
+    play(scenario.serve((0.2, scenario.declare_dead("b"))))
+    assert scenario.firsts.count("a") == 1
 
 
 def test_a_run_ended_long_after_it_was_sent_was_no_dropped_connection(shape):
     """A crash under the request while it waited in the engine for its first token."""
-    played = Held(shape, {"a": Engine()})
-    play(played.serve())
-    assert played.firsts == ["a", "c"]
-    assert played.beliefs.crashes.losses(played.ended_at)
+    scenario = LateClosedStream(shape, {"a": Engine()})
+    play(scenario.serve())
+    assert scenario.firsts == ["a", "c"]
+    assert scenario.beliefs.crashes.losses(scenario.ended_at)
 
 
 def test_a_run_whose_events_flow_is_not_closed_for_a_part_that_is_said_to_be_dead(
     shape,
 ):
     """Its events refute it; each such move took an attempt and a retry."""
-    played = StreamScenario(shape, {"a": Engine()})
-    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
-    assert played.firsts == ["a"]
+    scenario = StreamScenario(shape, {"a": Engine()})
+    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    assert scenario.firsts == ["a"]
 
 
 def test_an_answer_whose_events_flow_is_not_lost_to_a_move(shape):
     engines = {"a": Engine(), "c": Engine(status=503)}
-    played = StreamScenario(shape, engines, slack=ONE)
-    play(played.serve((IN_PAUSE, played.declare_dead("b"))))
-    assert played.caller.body == whole_answer()
+    scenario = StreamScenario(shape, engines, slack=ONE_RETRY)
+    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    assert scenario.caller.body == whole_answer()
 
 
 @attrs.define(slots=False)
-class SlowToReach(StreamScenario):
+class SlowConnectStream(StreamScenario):
     """Connections take a while to be made."""
 
     async def reserve(self, address, fresh):
@@ -260,7 +264,7 @@
 def test_an_engine_that_ends_a_run_while_it_is_moved_is_not_taken_for_crashed(shape):
     """It ended what stood still behind a dead part, while a connection was made."""
     engine = Engine(pause_after=5, pause=0.2, breaks=True)
-    played = SlowToReach(shape, {"a": engine})
-    play(played.serve((0.55, played.declare_dead("b"))))
-    assert played.caller.body == whole_answer()
-    assert played.beliefs.crashes.losses(played.ended_at) == {}
+    scenario = SlowConnectStream(shape, {"a": engine})
+    play(scenario.serve((0.55, scenario.declare_dead("b"))))
+    assert scenario.caller.body == whole_answer()
+    assert scenario.beliefs.crashes.losses(scenario.ended_at) == {}
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -18,7 +18,7 @@
 from lacewingcourse.core.pipelines.routing import RetrySafety
 
 from .stream_scenario import (
-    EVENTS,
+    EVENT_COUNT,
     NO_RETRIES,
     UNLIMITED_RETRIES,
     Engine,
@@ -44,95 +44,96 @@
 
 
 def test_a_run_stays_open_where_no_retry_is_left(stream):
-    played = stream(SHORT_PAUSE, slack=NO_RETRIES)
-    ended = play(played.serve((IN_PAUSE, played.declare_dead("b"))))
+    scenario = stream(SHORT_PAUSE, slack=NO_RETRIES)
+    ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
-    assert played.caller.whole
-    assert played.caller.body == whole_answer()
-    assert played.firsts == ["a"]
+    assert scenario.caller.whole
+    assert scenario.caller.body == whole_answer()
+    assert scenario.firsts == ["a"]
 
 
 def test_a_run_stays_open_where_no_other_path_has_room(stream):
     """Room was waited for with the run closed already, until the caller left."""
-    played = stream(SHORT_PAUSE, room_available_at=100.0)
-    ended = play(played.serve((IN_PAUSE, played.declare_dead("b"))))
+    scenario = stream(SHORT_PAUSE, room_available_at=100.0)
+    ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
-    assert played.caller.body == whole_answer()
-    assert played.firsts == ["a"]
+    assert scenario.caller.body == whole_answer()
+    assert scenario.firsts == ["a"]
 
 
 @pytest.mark.parametrize("lacks", [{"slack": NO_RETRIES}, {"room_available_at": 100.0}])
 def test_silence_alone_ends_no_run_that_nothing_replaces(stream, lacks):
-    played = stream(Engine(pause_after=5, pause=1.9), **lacks)
-    ended = play(played.serve())
+    scenario = stream(Engine(pause_after=5, pause=1.9), **lacks)
+    ended = play(scenario.serve())
     assert ended is None
-    assert played.caller.body == whole_answer()
+    assert scenario.caller.body == whole_answer()
 
 
 def test_a_stream_goes_on_elsewhere_as_soon_as_that_is_possible(stream):
-    played = stream(Engine(pause_after=5, pause=30.0), room_available_at=1.0)
-    ended = play(played.serve((IN_PAUSE, played.declare_dead("b"))))
+    scenario = stream(Engine(pause_after=5, pause=30.0), room_available_at=1.0)
+    ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
-    assert played.caller.body == whole_answer()
-    assert played.firsts == ["a", "c"]
-    moved_at = played.runs[1][0]
+    assert scenario.caller.body == whole_answer()
+    assert scenario.firsts == ["a", "c"]
+    moved_at = scenario.runs[1][0]
     assert 1.0 <= moved_at < 1.1
-    assert played.runs[0][2].abandoned
+    assert scenario.runs[0][2].abandoned
 
 
 def test_a_stream_goes_on_once_a_repeat_is_allowed_again(stream):
-    played = stream(Engine(pause_after=5, pause=30.0), slack=NO_RETRIES)
+    scenario = stream(Engine(pause_after=5, pause=30.0), slack=NO_RETRIES)
     ended = play(
-        played.serve(
-            (IN_PAUSE, played.declare_dead("b")), (1.0, played.allow(UNLIMITED_RETRIES))
+        scenario.serve(
+            (IN_PAUSE, scenario.declare_dead("b")),
+            (1.0, scenario.set_slack(UNLIMITED_RETRIES)),
         )
     )
     assert ended is None
-    assert played.caller.body == whole_answer()
-    assert played.firsts == ["a", "c"]
+    assert scenario.caller.body == whole_answer()
+    assert scenario.firsts == ["a", "c"]
 
 
 def test_an_answer_whose_engine_ended_it_waits_for_a_retry(stream):
     """It was given up at once, while its caller would have read on for two seconds."""
-    played = stream(Engine(pause_after=5, breaks=True), slack=NO_RETRIES)
-    ended = play(played.serve((1.0, played.allow(UNLIMITED_RETRIES))))
+    scenario = stream(Engine(pause_after=5, breaks=True), slack=NO_RETRIES)
+    ended = play(scenario.serve((1.0, scenario.set_slack(UNLIMITED_RETRIES))))
     assert ended is None
-    assert played.caller.body == whole_answer()
-    assert played.firsts == ["a", "c"]
+    assert scenario.caller.body == whole_answer()
+    assert scenario.firsts == ["a", "c"]
 
 
 def test_a_run_that_goes_on_after_all_is_watched_again(stream):
     """Taken for dead a second time, it moves, now that a retry is left."""
-    played = stream(Engine(pause_after=5, pause=0.4, stops_after=8), slack=NO_RETRIES)
+    scenario = stream(Engine(pause_after=5, pause=0.4, stops_after=8), slack=NO_RETRIES)
     dies_again = 1.1
     ended = play(
-        played.serve(
-            (IN_PAUSE, played.declare_dead("b")),
-            (dies_again, played.allow(UNLIMITED_RETRIES)),
-            (dies_again, played.declare_dead("b")),
+        scenario.serve(
+            (IN_PAUSE, scenario.declare_dead("b")),
+            (dies_again, scenario.set_slack(UNLIMITED_RETRIES)),
+            (dies_again, scenario.declare_dead("b")),
         )
     )
     assert ended is None
-    assert played.caller.body == whole_answer()
-    assert played.firsts == ["a", "c"]
-    assert played.runs[1][0] < dies_again + 0.1
+    assert scenario.caller.body == whole_answer()
+    assert scenario.firsts == ["a", "c"]
+    assert scenario.runs[1][0] < dies_again + 0.1
 
 
 def test_an_engine_that_ends_a_run_which_stood_still_is_not_taken_for_crashed(stream):
     """It ends what depends on a dead part; the request would be refused for good."""
-    played = stream(
+    scenario = stream(
         Engine(pause_after=5, pause=1.0, breaks=True), room_available_at=IN_PAUSE + 1.5
     )
-    ended = play(played.serve((IN_PAUSE, played.declare_dead("b"))))
+    ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
-    assert played.caller.body == whole_answer()
-    assert played.beliefs.crashes.losses(played.ended_at) == {}
+    assert scenario.caller.body == whole_answer()
+    assert scenario.beliefs.crashes.losses(scenario.ended_at) == {}
 
 
 def test_a_request_that_no_engine_ran_is_refused_as_such(stream):
     """Its caller was told that it may have run, and not when to come back."""
-    played = stream(Engine(status=503), slack=NO_RETRIES)
-    ended = play(played.serve())
+    scenario = stream(Engine(status=503), slack=NO_RETRIES)
+    ended = play(scenario.serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
     assert ended.outcome is Outcome.NOT_RUN
     assert ended.retry_after is not None
@@ -146,19 +147,19 @@
     second it is in time, but it was asked back when one to two and a half answers had
     passed, and was late whatever it met.
     """
-    played = stream(Engine(status=503), slack=NO_RETRIES)
-    ended = play(played.serve())
+    scenario = stream(Engine(status=503), slack=NO_RETRIES)
+    ended = play(scenario.serve())
     assert ended.outcome is Outcome.NOT_RUN
-    assert played.ended_at <= 0.05
+    assert scenario.ended_at <= 0.05
     assert 0.05 <= ended.retry_after <= 0.15
 
 
 def test_a_request_that_may_have_run_waits_for_a_retry(stream):
     """Its caller cannot be told that it has not run, and would not ask again."""
-    played = stream(Engine(breaks=True, pause_after=0), slack=NO_RETRIES)
-    play(played.serve((0.1, played.allow(UNLIMITED_RETRIES))))
-    assert played.firsts == ["a", "c"]
-    assert played.caller.body == whole_answer()
+    scenario = stream(Engine(breaks=True, pause_after=0), slack=NO_RETRIES)
+    play(scenario.serve((0.1, scenario.set_slack(UNLIMITED_RETRIES))))
+    assert scenario.firsts == ["a", "c"]
+    assert scenario.caller.body == whole_answer()
 
 
 def test_a_request_without_room_comes_back_after_usual_answers(stream):
@@ -168,11 +169,11 @@
     which it was chosen how many of them pass until a caller comes back. Room was there
     after two seconds, and callers were late whatever they met.
     """
-    played = stream(Engine())
+    scenario = stream(Engine())
     for seconds in (2.0,) * 20 + (6.0,) * 2:
-        played.beliefs.durations.note("rooms", seconds)
-    played._find = lambda *asked: Refusal(ErrorKind.OVERLOADED, "no path has memory")
-    ended = play(played.serve())
+        scenario.beliefs.durations.note("rooms", seconds)
+    scenario._find = lambda *asked: Refusal(ErrorKind.OVERLOADED, "no path has memory")
+    ended = play(scenario.serve())
     least, most = RETRY_AFTER_ANSWERS
     assert ended.kind is ErrorKind.OVERLOADED
     assert 2.0 * least <= ended.retry_after <= 2.0 * most
@@ -183,46 +184,46 @@
 )
 def test_a_dropped_connection_takes_no_attempt_and_no_retry(stream, retry_safety):
     """Streams were given up, within milliseconds, though their engines lived."""
-    played = stream(
+    scenario = stream(
         Engine(drops=True), slack=NO_RETRIES, attempts=1, retry_safety=retry_safety
     )
-    assert play(played.serve()) is None
-    assert played.caller.body == whole_answer()
-    assert played.beliefs.crashes.losses(played.ended_at) == {}
+    assert play(scenario.serve()) is None
+    assert scenario.caller.body == whole_answer()
+    assert scenario.beliefs.crashes.losses(scenario.ended_at) == {}
 
 
 def test_an_answer_waits_for_a_file_descriptor(stream):
     """It was broken off by the error that the lack of one raised."""
-    played = stream(Engine(pause_after=5, breaks=True), lacks_descriptors=(0.1, 1.0))
-    assert play(played.serve()) is None
-    assert played.caller.body == whole_answer()
+    scenario = stream(Engine(pause_after=5, breaks=True), descriptor_outage=(0.1, 1.0))
+    assert play(scenario.serve()) is None
+    assert scenario.caller.body == whole_answer()
 
 
 def test_a_request_is_refused_where_no_file_descriptor_is_left(stream):
-    played = stream(Engine(), lacks_descriptors=(0.0, 9.0))
-    ended = play(played.serve())
+    scenario = stream(Engine(), descriptor_outage=(0.0, 9.0))
+    ended = play(scenario.serve())
     assert ended.kind is ErrorKind.OVERLOADED
     assert ended.outcome is Outcome.NOT_RUN
-    assert played.beliefs.suspects.excluded(played.ended_at) == set()
+    assert scenario.beliefs.suspects.excluded(scenario.ended_at) == set()
 
 
 def test_a_defect_stops_what_an_endpoint_does_for_a_stream(stream):
     """The endpoint works on for a caller whose answer has been ended."""
-    played = stream(Engine())
+    scenario = stream(Engine())
 
     def fails(status, headers, request):
         raise ValueError("a defect")
 
-    played._head = fails
+    scenario._head = fails
     with pytest.raises(ValueError, match="a defect"):
-        play(played.serve())
-    assert [run.abandoned for _, _, run in played.runs] == [True]
+        play(scenario.serve())
+    assert [run.abandoned for _, _, run in scenario.runs] == [True]
 
 
-@pytest.mark.parametrize("resume_after", ["", str(EVENTS)])
+@pytest.mark.parametrize("resume_after", ["", str(EVENT_COUNT)])
 def test_an_answer_has_no_length_of_one_run(stream, resume_after):
     """An answer without new events was promised a body, and broken off as a defect."""
-    played = stream(Engine(), resume_after=resume_after)
-    assert play(played.serve()) is None
-    assert played.caller.whole
-    assert "Content-Length" not in played.caller.headers
+    scenario = stream(Engine(), resume_after=resume_after)
+    assert play(scenario.serve()) is None
+    assert scenario.caller.whole
+    assert "Content-Length" not in scenario.caller.headers
--- a/packages/relay/tests/relay/test_streams.py
+++ b/packages/relay/tests/relay/test_streams.py
@@ -50,11 +50,11 @@
     """Takes any call, and keeps the first arguments of those that a test reads."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.probed: list[str] = []
         self.faults: list[tuple[str, float | None]] = []
 
     def probe(self, part: Part, now: float) -> None:
-        self.asked.append(part.endpoint)
+        self.probed.append(part.endpoint)
 
     def lost(self, job, endpoint, reason, fault="", filled=None) -> None:
         self.faults.append((fault, filled))
@@ -77,25 +77,25 @@
         for part in PATH.parts:
             beliefs.fleet.put(endpoint(part))
         beliefs.loads.from_peer("p", {"b": Load(1, 0, taken * ROOM)}, 0.0)
-        told = Recorder()
+        recorder = Recorder()
         forwarder = StreamForwarder(
             beliefs,
             SimpleNamespace(find=lambda job, shape, demand: PATH),
-            Sender(status),
+            RejectingSender(status),
             RetryBudget(0.2, 10.0, 20),
             Random(1),
-            Once(),
-            told,
-            told,
+            SinglePathAdmission(),
+            recorder,
+            recorder,
         )
         refusal = asyncio.run(forwarder.serve(make_job(), shape))
         assert isinstance(refusal, Refusal)
-        return beliefs, told
+        return beliefs, recorder
 
     return run
 
 
-class Once:
+class SinglePathAdmission:
     """Gives a path once, and none after it."""
 
     def __init__(self) -> None:
@@ -108,7 +108,7 @@
         return PATH
 
 
-class Sender:
+class RejectingSender:
     """Sends to an endpoint that rejects."""
 
     def __init__(self, status: int) -> None:
@@ -169,14 +169,14 @@
 
 
 def test_an_endpoint_without_memory_is_left_to_other_requests(rejected):
-    beliefs, told = rejected(status=503, taken=0.9)
+    beliefs, recorder = rejected(status=503, taken=0.9)
     assert beliefs.suspects.excluded(0.0) == set()
-    assert told.faults == [("b", 0.9)]
+    assert recorder.faults == [("b", 0.9)]
 
 
 def test_an_endpoint_that_may_be_full_or_dead_is_asked(rejected):
-    _, told = rejected(status=503, taken=0.9)
-    assert told.asked == ["b"]
+    _, recorder = rejected(status=503, taken=0.9)
+    assert recorder.probed == ["b"]
 
 
 @pytest.mark.parametrize(
@@ -185,6 +185,6 @@
     ids=["rejects with memory left", "lacks the layers"],
 )
 def test_an_endpoint_that_rejects_every_request_is_left_out(rejected, status, taken):
-    beliefs, told = rejected(status, taken)
+    beliefs, recorder = rejected(status, taken)
     assert beliefs.suspects.excluded(0.0) == {"b"}
-    assert told.asked == []
+    assert recorder.probed == []
