--- a/packages/relay/src/lacewingcourse/relay/moving.py
+++ b/packages/relay/src/lacewingcourse/relay/moving.py
@@ -1,4 +1,4 @@
-"""What a stream goes on with when its run stands still."""
+"""Search for the next path of a stalled stream, and standby attempts on it."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class Forwarder(Protocol):
-    """What forwards a stream, as far as a move needs it.
+    """The part of a stream forwarder that a move needs.
 
     Attributes:
-        beliefs: What is believed of the endpoints.
-        sender: What sends.
-        budget: Retries that are left.
-        stalls: Watches streams for standing still.
-        log: Log of decisions.
+        beliefs: This entry's view of the endpoints.
+        sender: Sends requests to endpoints.
+        budget: Retry budget.
+        stalls: Detects streams that stall behind dead endpoints.
+        log: Decision log.
     """
 
     beliefs: Beliefs
@@ -43,33 +43,33 @@
     def reserve_path(
         self, state: StreamState, also_avoid: Collection[str] = ()
     ) -> Path | Refusal:
-        """Return a path that a request may be sent on now, or why there is none."""
+        """Reserve what a send needs; return a path for it, or why there is none."""
 
     def reserve_retry(self, job: Job) -> Refusal | None:
-        """Hold the retry that a send needs; return why it may not be sent, if so."""
+        """Hold a retry for a request; return why it may not be sent, None if it may."""
 
     def record_send(self, job: Job, path: Path) -> None:
-        """Note that a run was sent on a path."""
+        """Record that an attempt was sent on a path."""
 
     def exclude_unreachable(self, job: Job, path: Path) -> None:
-        """Leave out the first endpoint of a path, to which no connection was made."""
+        """Exclude the first endpoint of a path, to which no connection was made."""
 
     def record_failure(self, job: Job, path: Path, result: AttemptResult) -> None:
-        """Leave out what failed, for this request or for all."""
+        """Exclude the endpoints at fault, for this request or for all requests."""
 
 
 @attrs.define
 class Mover:
-    """Finds the next path of a stream, and begins a run on it beside the present one.
+    """Finds the next path of a stalled stream, and starts a standby attempt on it.
 
-    Only its engine's answer tells whether that path has room after all. Until then the
-    present run is all that its caller has.
+    Whether that path has room is certain only once its first engine has responded.
+    Until then the stalled attempt stays open, as it is all that the caller has.
 
     Attributes:
         forwarder: Forwards the stream.
         state: The stream.
-        path: Path of the run that stands still.
-        fresh: Whether the next run goes over a new connection.
+        path: Path of the stalled attempt.
+        fresh: Whether the next attempt uses a new connection.
     """
 
     forwarder: Forwarder
@@ -83,7 +83,7 @@
         return self.state.job
 
     async def find_replacement(self) -> Replacement | Refusal:
-        """Return a path with a connection to it, or why there is none."""
+        """Return the next path with a connection to it, or why there is none."""
         found = self._next_path()
         if isinstance(found, Refusal):
             return found
@@ -102,12 +102,12 @@
         return replacement
 
     def discard(self, found: Replacement) -> None:
-        """Give back what a path that was found would have been used with."""
+        """Close the connection of an unused replacement, and release its holds."""
         found.connection.close()
         self._release_holds()
 
     async def start_standby(self, found: Replacement) -> Standby | None:
-        """Begin a run on a path that was found; None if it was not sent."""
+        """Start an attempt on the path of a replacement; None if it was not sent."""
         forwarder, job, path = self.forwarder, self.job, found.path
         now = forwarder.sender.clock()
         after = self.state.cutter.last_id
@@ -125,20 +125,23 @@
         return Standby(path, sent, now)
 
     def release_load(self, standby: Standby) -> None:
-        """Note that a run has ended, or that its stream goes on with it."""
+        """Remove a standby's load, once it has ended or the stream continues on it.
+
+        A stream that continues on it adds the load again.
+        """
         self.forwarder.beliefs.loads.end(standby.path, self.state.demand.tokens)
 
     def drop_standby(self, standby: Standby) -> None:
-        """Close a run in whose place the other one goes on."""
+        """Close a standby that is not needed, and keep the current attempt."""
         standby.exchange.abandon()
         ran = self.forwarder.sender.clock() - standby.started_at
         self.forwarder.log.standby_dropped(self.job, ran)
         self._restore_current(standby)
 
     def on_standby_failed(self, standby: Standby) -> None:
-        """Learn from a run that its engine did not accept."""
+        """Record the failure of a standby, and keep the current attempt."""
         if standby.failure.end is AttemptEnd.DROPPED:
-            # It takes no attempt; the next one goes over a new connection.
+            # A stale connection costs no attempt; the next one uses a new connection.
             self.job.sends -= 1
             self.fresh = True
             self.forwarder.sender.pool.close_idle(standby.path.first.address)
@@ -155,7 +158,7 @@
         self.job.path = self.path
 
     def _next_path(self) -> tuple[Path, bool] | Refusal:
-        """Return a path, and whether it has room beside the present run."""
+        """Return a path, and whether it has room while the current attempt is open."""
         job, path, tokens = self.job, self.path, self.state.demand.tokens
         also_avoid = [] if path.uses(job.avoid) else [p.endpoint for p in path.parts]
         found = self.forwarder.reserve_path(self.state, also_avoid)
--- a/packages/relay/src/lacewingcourse/relay/stream_attempt.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_attempt.py
@@ -1,4 +1,4 @@
-"""One run of a stream: what arrives of it is passed on until it ends."""
+"""One attempt of a stream: relays its events to the caller until it ends."""
 
 from __future__ import annotations
 
@@ -36,48 +36,48 @@
     from lacewingcourse.relay.stream_state import Standby, StreamState
     from lacewingcourse.relay.upstream import Arrival, Exchange
 
-#: Seconds for which a run may stand still without a known cause before it goes on on
-#: another path. Callers leave after two seconds of silence. A shorter time sends
-#: streams away from paths that are only busy, and the prompts that are then read again
-#: make the others busier.
+#: Seconds without an event, and without a known cause, after which a stream is moved to
+#: another path. Callers leave after two seconds of silence. A shorter time moves
+#: streams off paths that are only busy, and reading their prompts again loads the other
+#: paths.
 STALL_TIMEOUT = 1.5
-
-
-#: Seconds between two looks for a path for a run that stands still. Many do at once
-#: when an endpoint dies, and each look compares paths.
+#: Seconds between two searches for a path for a stalled attempt. Many attempts stall at
+#: once when an endpoint dies, and each search compares paths.
 PATH_SEARCH_PERIOD = 0.05
-#: Seconds for which the body of an answer that is no stream is waited for.
+#: Seconds to wait for the body of a response without success.
 ERROR_BODY_TIMEOUT = 0.5
-#: Why a run is closed in whose place another one goes on.
+#: Reason of an attempt that is closed because another one replaces it.
 STALLED_REASON = "the stream stood still"
-#: Why a run is lost that ended in an event.
+#: Reason of an attempt that ended in the middle of an event.
 TRUNCATED_EVENT_REASON = "cut event"
 
 
 @attrs.define
 class StreamAttempt:
-    """Passes on what arrives of a run.
+    """Relays the events of one attempt to the caller.
 
-    A run that stands still is kept open until another one was accepted, if the parts
-    that they share have room for both, and at least until another one may begin. Its
-    engine may go on after all, and a run that is closed first leaves the caller with a
-    part of an answer where nothing takes its place.
+    A stalled attempt stays open until a standby was accepted, if the parts that both
+    use have memory for both, and otherwise until the next attempt may be sent. Its
+    engine may resume. If it were closed first and no replacement could be sent, the
+    caller would be left with a partial answer.
 
     Attributes:
         state: The stream.
-        exchange: What was sent for this run.
-        sender: What sent it.
-        stalls: Watches streams for standing still.
-        log: Log of decisions.
-        mover: Finds and begins what the stream goes on with.
-        first: Head that arrived already, None if none did.
-        head: Head of this run's answer, None before it.
-        began_at: When the run was sent, seconds.
-        moving_since: Time since which the stream is to go on elsewhere, None if it is
-            not.
-        standby: Run that was begun beside this one, None without one.
-        listening: Waits for the standby's answer.
-        over: How this run ended while its standby was not heard, None if it did not.
+        exchange: The HTTP exchange that carries this attempt.
+        sender: Sends requests and returns connections to the pool.
+        stalls: Detects streams that stall behind dead endpoints.
+        log: Decision log.
+        mover: Finds the next path and starts the standby on it.
+        early_head: Response head that was received before relaying began, None if
+            there was none.
+        head: Decoded head of this attempt's response, None before it.
+        started_at: When relaying began, seconds.
+        moving_since: When the attempt was found stalled and the search for another
+            path began, seconds; None while it is not stalled.
+        standby: Standby attempt, None if there is none.
+        standby_task: Task that waits for the standby's response.
+        ended_result: Result of this attempt if it ended while the standby was still
+            pending, None otherwise.
     """
 
     state: StreamState
@@ -100,7 +100,7 @@
         return self.state.job
 
     async def relay(self) -> AttemptResult:
-        """Pass on what arrives until the run ends."""
+        """Relay events until the attempt ends; return its result."""
         try:
             return await self._relay()
         finally:
@@ -133,13 +133,13 @@
                 self.exchange.sink = self.receive
 
     def receive(self, data: bytes) -> None:
-        """Take bytes of the run, and pass on the events that are whole."""
+        """Add received bytes, and pass complete events on to the caller."""
         self._forward_events(self.state.cutter.feed(data))
         if self.state.cutter.overgrown:
             self.exchange.arrivals.put_nowait(End(False, "bytes that are no events"))
 
     def _next_check_at(self, now: float) -> float:
-        """Return when to look again if nothing arrives, seconds."""
+        """Return when to check for a stall if nothing arrives until then, seconds."""
         if self.standby is not None:
             return min(self.job.until, self.standby.started_at + STALL_TIMEOUT)
         if self.moving_since is not None:
@@ -149,7 +149,7 @@
         return self.job.until
 
     async def _on_head(self, arrival: Head) -> AttemptResult | None:
-        """Take the head of an answer; return the end of a run that is no stream."""
+        """Process a response head; return the result if it is not a success."""
         self.head = self.sender.codec.head(
             arrival.status, arrival.headers, self.job.request
         )
@@ -160,7 +160,7 @@
         return None
 
     def _forward_events(self, events: bytes) -> None:
-        """Write whole events to the caller."""
+        """Write complete events to the caller."""
         if not events:
             return
         now = self.sender.clock()
@@ -173,7 +173,7 @@
         self._begin_response(events)
 
     async def _on_stall(self, arrival: Stalled) -> AttemptResult | None:
-        """Return the end of a run that stands still, None if it is kept open."""
+        """Process a stall; return the result, None if the attempt stays open."""
         now = self.sender.clock()
         if now >= self.job.until:
             self._close_attempt("the time of the route is over")
@@ -193,7 +193,7 @@
                 self.log.not_moved(self.job, found, now)
             return None
         if self.state.last_event_at > now or not self.exchange.arrivals.empty():
-            # It went on, or ended, while the connection was made.
+            # The attempt resumed or ended while the connection was being made.
             self.mover.discard(found)
             return None
         if found.has_room:
@@ -203,13 +203,13 @@
         return AttemptResult(AttemptEnd.STALLED, self.job.reason, replacement=found)
 
     async def _start_standby(self, found: Replacement) -> None:
-        """Begin the next run beside this one."""
+        """Start the next attempt while this one stays open."""
         self.standby = await self.mover.start_standby(found)
         if self.standby is not None:
             self.standby_task = asyncio.ensure_future(self._await_standby(self.standby))
 
     async def _await_standby(self, standby: Standby) -> None:
-        """Wait for the answer to a standby, and tell this run of it."""
+        """Wait for the response of a standby, and signal it to the relay loop."""
         now = self.sender.clock()
         arrival = await next_arrival(standby.exchange, self.job.until, now)
         if isinstance(arrival, Head):
@@ -228,10 +228,10 @@
         self.exchange.arrivals.put_nowait(StandbySettled())
 
     def _on_standby_settled(self) -> AttemptResult | None:
-        """Go on with the standby if it was accepted and this run did not go on."""
+        """Switch to the standby if it was accepted and this attempt did not resume."""
         standby = self.standby
         if standby is None or not (standby.head or standby.failure):
-            # It tells of one that was dropped just before.
+            # The signal belongs to a standby that was dropped just before.
             return None
         self.standby = None
         if standby.failure is not None:
@@ -252,7 +252,7 @@
     def _drop_stalled_standby(
         self, arrival: Stalled, now: float
     ) -> AttemptResult | None:
-        """Drop a standby that stands still as well."""
+        """Drop a standby that has stalled as well."""
         if not arrival.cause_known and now < self.standby.started_at + STALL_TIMEOUT:
             return None
         self.standby_task.cancel()
@@ -261,7 +261,7 @@
         return self.ended_result
 
     def _has_resumed(self, now: float) -> bool:
-        """Tell whether events went past a wait, so that the run is well."""
+        """Return whether events arrived again, so that the attempt is not stalled."""
         if self.moving_since is None:
             return now < self.state.last_event_at + STALL_TIMEOUT
         if self.state.last_event_at <= self.moving_since:
@@ -272,12 +272,12 @@
         return True
 
     def _close_attempt(self, reason: str) -> None:
-        """Close a run that is still open."""
+        """Close this attempt and record that it may have run."""
         self.exchange.abandon()
         self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
 
     def _on_end(self, arrival: End | Abandoned) -> AttemptResult | None:
-        """Return what the end of a run amounts to, None while another is heard of."""
+        """Return the result of an ended attempt, None while a standby is pending."""
         if isinstance(arrival, Abandoned):
             self._close_attempt(arrival.reason)
             self.job.caller.break_off()
@@ -288,7 +288,8 @@
             return AttemptResult(AttemptEnd.WHOLE)
         if self.moving_since is None:
             return self._on_lost(self.exchange, self.started_at, arrival)
-        # An engine ends a run that stood still behind another part; it is not lost.
+        # An engine ends a stream that stalled behind another part. It has not crashed
+        # itself, so this attempt does not count as lost.
         self._close_attempt(arrival.reason or TRUNCATED_EVENT_REASON)
         result = AttemptResult(AttemptEnd.STALLED, self.job.reason)
         if self.standby is None:
@@ -299,7 +300,7 @@
     def _on_lost(
         self, exchange: Exchange, started_at: float, arrival: Arrival
     ) -> AttemptResult:
-        """Return what the early end of a run amounts to."""
+        """Close an attempt that ended early, and return its result."""
         reason = getattr(arrival, "reason", "") or TRUNCATED_EVENT_REASON
         exchange.abandon()
         self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
@@ -309,13 +310,16 @@
         return AttemptResult(AttemptEnd.LOST, reason, first_lost=True)
 
     def _finish_response(self) -> None:
-        """End the caller's answer, which may have no events."""
+        """End the caller's response, which may have no events."""
         if not self.job.caller.begun:
             self._begin_response(b"")
         self.job.caller.end()
 
     def _begin_response(self, events: bytes) -> None:
-        """Begin the caller's answer; its length is not that of one run."""
+        """Start the caller's response.
+
+        Content-Length is left out: the response may consist of several attempts.
+        """
         headers = self.sender.codec.for_caller(self.state.head)
         headers.pop("Content-Length", None)
         self.job.caller.begin(self.state.head.status, headers, events)
@@ -323,7 +327,10 @@
     async def _read_error_response(
         self, exchange: Exchange, head: AnswerHead
     ) -> AttemptResult:
-        """Read the body of an answer that is no stream, and keep a failure."""
+        """Read the body of a response without success, and return the result.
+
+        An engine's own error response is kept, so that it can be sent to the caller.
+        """
         job = self.job
         body = bytearray()
         until = min(job.until, self.sender.clock() + ERROR_BODY_TIMEOUT)
@@ -348,7 +355,8 @@
         if head.standing is not Standing.ANSWERED or not whole or job.caller.begun:
             return AttemptResult(AttemptEnd.LOST, job.reason)
         self.state.failure = WholeAnswer(head, bytes(body))
-        # What an engine says of the request itself, another one would say as well.
+        # Errors below 500 concern the request itself; another engine would return the
+        # same.
         if head.status >= SERVER_ERROR and job.may_send_again:
             return AttemptResult(AttemptEnd.LOST, job.reason)
         return AttemptResult(AttemptEnd.FAILED, job.reason)
--- a/packages/relay/src/lacewingcourse/relay/stream_state.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_state.py
@@ -1,4 +1,4 @@
-"""A stream over all of its runs: how they end, and what takes their place."""
+"""State of a stream across its attempts: how each ends and what replaces it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,22 @@
 
 
 class AttemptEnd(Enum):
-    """How one run of a stream ended."""
+    """How one attempt of a stream ended.
+
+    Attributes:
+        WHOLE: The response was relayed to its end.
+        LOST: It ended early, or with a status that allows another attempt.
+        STALLED: Its events stopped, and the stream continues on another path.
+        REJECTED: An endpoint refused it without running it.
+        ABANDONED: The caller left.
+        OVERDUE: The deadline of the request passed.
+        DROPPED: The endpoint had already closed the pooled connection.
+        HELD: It was not sent: this process has no file descriptor left.
+        NOT_TAKEN: It was not sent: this entry is shutting down.
+        NO_RETRY: It was not sent: the retry budget is used up.
+        LIMITED: It was not sent: the endpoint's rate limit is reached.
+        FAILED: The engine reported an error that is passed on to the caller.
+    """
 
     WHOLE = "whole"
     LOST = "lost"
@@ -38,14 +53,14 @@
 
 @attrs.define(eq=False)
 class Standby:
-    """A run that was begun beside one that stands still, and may take its place.
+    """A second attempt, started while a stalled one is still open.
 
     Attributes:
         path: Its path.
-        exchange: What was sent for it.
-        began_at: When it was sent, seconds.
-        head: Head of its answer if it was accepted, else None.
-        failure: How it ended if it was not, else None.
+        exchange: The HTTP exchange that carries it.
+        started_at: When it was sent, seconds.
+        head: Head of its response if it was accepted, else None.
+        failure: How it ended if it was not accepted, else None.
     """
 
     path: Path
@@ -57,13 +72,13 @@
 
 @attrs.frozen
 class Replacement:
-    """What a stream goes on with in place of a run that stands still.
+    """The path, and possibly the open attempt, that replaces a stalled attempt.
 
     Attributes:
-        path: Its next path.
-        connection: A connection to the first part of it, None once it was sent.
-        has_room: Whether its parts have room while the other run is still open.
-        standby: The run on it, None if it is still to be sent.
+        path: The next path.
+        connection: Connection to its first part, None once the attempt was sent.
+        has_room: Whether its parts have memory while the stalled attempt stays open.
+        standby: The attempt on that path, None if it is still to be sent.
     """
 
     path: Path
@@ -74,15 +89,15 @@
 
 @attrs.frozen
 class AttemptResult:
-    """What became of one run of a stream.
+    """Result of one attempt of a stream.
 
     Attributes:
         end: How it ended.
-        reason: What happened.
+        reason: What happened, for the log and the caller.
         fault_address: Address of the endpoint at fault, or empty.
-        misdirected: Whether that endpoint does not hold what the path names.
+        misdirected: Whether that endpoint lacks the layers that the path names.
         first_lost: Whether the connection to the first part broke.
-        replacement: What the stream goes on with, None if that is still to be found.
+        replacement: What the stream continues with, None if it is still to be found.
     """
 
     end: AttemptEnd
@@ -95,16 +110,19 @@
 
 @attrs.define
 class StreamState:
-    """A stream, over all of its runs.
+    """State of a stream that is shared by all of its attempts.
 
     Attributes:
         job: The request.
-        shape: Figures of the service's engines.
-        demand: What it needs of a path.
-        cutter: Cuts bytes into events, and knows the last one passed on.
-        head: Head of the first run's answer, None before it.
-        quiet_since: Time since which nothing arrived of the present run, seconds.
-        failure: An engine's own failure, which is passed on if nothing better comes.
+        shape: Performance figures of the service's engines.
+        demand: Memory and time that the request is expected to need on a path.
+        cutter: Splits received bytes into events and keeps the id of the last one
+            passed on.
+        head: Head of the first successful response, None before it.
+        last_event_at: When the current attempt started or last passed on an event,
+            seconds.
+        failure: Error response of an engine, sent to the caller if no further attempt
+            succeeds.
     """
 
     job: Job
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -1,4 +1,4 @@
-"""Forwarding of streams of events, which go on elsewhere when a path breaks."""
+"""Forwarding of event streams, which move to another path when theirs breaks."""
 
 from __future__ import annotations
 
@@ -50,20 +50,20 @@
 
 @attrs.define
 class StreamForwarder:
-    """Sends streams along paths and passes their events on.
+    """Sends streams along paths and relays their events to the callers.
 
     Attributes:
-        beliefs: What is believed of the endpoints.
+        beliefs: This entry's view of the endpoints.
         finder: Finds paths.
-        sender: What sends.
-        budget: Repeats that are left.
-        rng: Source of draws.
-        admission: Lets requests onto paths.
-        stalls: Watches streams for standing still.
-        log: Log of decisions.
-        on_suspect: Called when an endpoint is left out that other entries still use.
-        on_denied: Called with the service and identifier of a request for which no
-            retry is left.
+        sender: Sends requests to endpoints.
+        budget: Retry budget.
+        rng: Random generator.
+        admission: Queue of requests that wait for room on a path.
+        stalls: Detects streams that stall behind dead endpoints.
+        log: Decision log.
+        on_suspect: Called when an endpoint is excluded that other entries still use.
+        on_denied: Called with the service and the request id when the retry budget
+            denies a retry.
     """
 
     beliefs: Beliefs
@@ -78,7 +78,7 @@
     on_denied: Callable[[str, str], None] = lambda service, request: None
 
     async def serve(self, job: Job, shape: EngineShape) -> Refusal | None:
-        """Forward a stream; return why its answer is not whole, if it is not."""
+        """Forward a stream; return a refusal if its response is not complete."""
         cutter = EventCutter(last_id=job.request.resume_after)
         state = StreamState(job, shape, demand_of(job, shape), cutter)
         try:
@@ -87,7 +87,7 @@
             self.sender.release_holds(job)
 
     async def _serve(self, state: StreamState) -> Refusal | None:
-        """Run a stream until it is whole or cannot go on."""
+        """Make attempts until the response is complete or no further one is allowed."""
         job = state.job
         replacement: Replacement | None = None
         while True:
@@ -124,7 +124,7 @@
                 return self._fail(state, self._error_kind(result), "no attempt is left")
 
     async def _wait_for_path(self, state: StreamState) -> Path | Refusal:
-        """Return a path for a request, or why none was found while it waited."""
+        """Return a path, waiting for room if necessary, or why none was found."""
         queued_at = self.sender.clock()
         path = await self.admission.path_for(
             state.job, state.demand, lambda: self.reserve_path(state)
@@ -135,13 +135,14 @@
     def reserve_path(
         self, state: StreamState, also_avoid: Collection[str] = ()
     ) -> Path | Refusal:
-        """Return a path that a request may be sent on now, or why there is none.
+        """Reserve what a send needs; return a path for it, or why there is none.
 
-        The request holds the retry and the place under a limit that the send needs.
+        The request then holds a retry, if it needs one, and a permit of the first
+        endpoint's rate limit.
 
         Args:
             state: The stream.
-            besides: Endpoints to avoid besides those that it avoids anyway.
+            also_avoid: Endpoints to avoid in addition to the request's own.
         """
         job = state.job
         refusal = self.reserve_retry(job)
@@ -157,7 +158,7 @@
         return found
 
     def reserve_retry(self, job: Job) -> Refusal | None:
-        """Hold the retry that a send needs; return why it may not be sent, if so."""
+        """Hold a retry for a request; return why it may not be sent, None if it may."""
         now = self.sender.clock()
         refusal = job.refused_at(now)
         if refusal is not None:
@@ -170,7 +171,7 @@
         return None
 
     def _record_transfers(self, state: StreamState, path: Path, now: float) -> None:
-        """Note the time that a prompt takes on the links of its path."""
+        """Record the load that a prompt's transfer puts on the links of its path."""
         for pair in path.crossings:
             seconds = state.shape.transfer_seconds(state.demand.prompt)
             self.beliefs.links.add(pair, seconds, now)
@@ -178,12 +179,13 @@
     async def _run_attempt(
         self, state: StreamState, path: Path, replacement: Replacement | None
     ) -> AttemptResult | None:
-        """Run a stream on a path; None if the request never left this process.
+        """Make an attempt on a path; return None if the request was not sent.
 
         Args:
             state: The stream.
             path: The path.
-            replacement: What it was found as, None for a stream that moves from none.
+            replacement: Replacement of a stalled attempt that the path belongs to,
+                None if it replaces none.
         """
         job = state.job
         job.path = path
@@ -193,13 +195,13 @@
             result = await self._send_and_relay(state, fresh, replacement)
             if result is None or result.end is not AttemptEnd.DROPPED:
                 return result
-            # Endpoints drop kept connections without notice. Taken for a lost run, each
-            # of these would use up an attempt of the route and a retry.
+            # Endpoints close pooled connections without notice. Counted as lost
+            # attempts, these would use up the route's attempts and the retry budget.
             job.sends -= 1
             self.sender.pool.close_idle(path.first.address)
             again = await self._send_and_relay(state, fresh=True)
             if again is None:
-                # The endpoint is gone, perhaps under this request.
+                # The endpoint may have crashed while it ran this request.
                 job.sends += 1
                 self.exclude_unreachable(job, path)
                 return AttemptResult(AttemptEnd.LOST, result.reason, first_lost=True)
@@ -210,12 +212,13 @@
     async def _send_and_relay(
         self, state: StreamState, fresh: bool, replacement: Replacement | None = None
     ) -> AttemptResult | None:
-        """Send a stream on its path and pass on what comes; None if it never left.
+        """Send a stream on its path and relay the response; None if it was not sent.
 
         Args:
             state: The stream.
             fresh: Whether to send it over a new connection.
-            replacement: What it goes on with, None if its path is its first one.
+            replacement: Replacement of a stalled attempt: an open standby, or a
+                connection to send over. None if this attempt replaces none.
         """
         if replacement is not None and replacement.standby is not None:
             standby = replacement.standby
@@ -242,12 +245,12 @@
     async def _relay_response(
         self, state: StreamState, sent: Exchange, head: Head | None
     ) -> AttemptResult:
-        """Pass on what arrives of a run that was sent.
+        """Relay the response of an attempt that was sent.
 
         Args:
             state: The stream.
-            sent: What was sent.
-            head: Head of its answer if that arrived already.
+            sent: The HTTP exchange of the attempt.
+            head: Head of the response if it was already received.
         """
         job = state.job
         try:
@@ -262,7 +265,7 @@
             )
             return await attempt.relay()
         except BaseException:
-            # The engine must not work on for a caller whose answer has ended.
+            # Stop the engine: the caller's response has ended.
             sent.abandon()
             raise
         finally:
@@ -270,7 +273,7 @@
             self.stalls.end(job)
 
     def record_send(self, job: Job, path: Path) -> None:
-        """Note that a run was sent on a path."""
+        """Record that an attempt was sent on a path."""
         job.sends += 1
         job.firsts.add(path.first.endpoint)
         job.path = path
@@ -279,18 +282,18 @@
         self.log.sent(job, path.first.endpoint, age, job.waited, limit)
 
     def exclude_unreachable(self, job: Job, path: Path) -> None:
-        """Leave out the first endpoint of a path, to which no connection was made."""
+        """Exclude the first endpoint of a path, to which no connection was made."""
         endpoint = path.first.endpoint
         reason = Unsent.UNREACHABLE.value
         self.beliefs.suspects.suspect(endpoint, reason, self.sender.clock())
         job.avoid.add(endpoint)
 
     def _result_of_unsent(self, sent: NotSent) -> AttemptResult | None:
-        """Return what a request amounts to that was not sent; None to try elsewhere.
+        """Return the result of a request that was not sent, None to try another path.
 
-        A time that is over, or a lack of this entry, says nothing of the endpoint: left
-        out for it, one request after the other would take every endpoint from all
-        others.
+        A passed deadline or a shortage in this entry is no fault of the endpoint. If
+        endpoints were excluded for it, a few such requests would exclude all of them
+        for every other request.
         """
         if sent.cause is Unsent.OVERDUE:
             return AttemptResult(AttemptEnd.OVERDUE, sent.reason)
@@ -305,7 +308,7 @@
         return None
 
     def record_failure(self, job: Job, path: Path, result: AttemptResult) -> None:
-        """Leave out what failed, for this request or for all."""
+        """Exclude the endpoints at fault, for this request or for all requests."""
         now = self.sender.clock()
         at_fault = [p for p in path.parts if p.address == result.fault_address]
         filled = None
@@ -317,8 +320,8 @@
                 self.stalls.probe(at_fault[0], now)
             else:
                 self.beliefs.suspects.suspect(endpoint, result.reason, now)
-                # Its word reaches the others in a round of news; until then each of
-                # them sends it requests, and every one costs a retry.
+                # Gossip reaches the other entries one round later. Until then each of
+                # them sends requests to this endpoint, and each request costs a retry.
                 self.on_suspect()
         elif result.first_lost:
             job.avoid.add(path.first.endpoint)
@@ -332,7 +335,7 @@
         self.log.lost(job, path.first.endpoint, result.reason, fault, filled)
 
     def _memory_share(self, job: Job, part: Part) -> float:
-        """Return the share of a part's memory that is believed to be taken."""
+        """Return the estimated share of a part's memory that is in use."""
         shape = self.beliefs.shape(job.service)
         if shape is None:
             return 0.0
@@ -350,14 +353,16 @@
         cause: str,
         limit_wait: float | None = None,
     ) -> Refusal | None:
-        """Return how a stream ends that cannot go on; None if it was answered.
+        """Return the refusal of a stream that cannot continue.
+
+        Returns None if an engine's own error response was sent to the caller instead.
 
         Args:
             state: The stream.
-            kind: Why it cannot.
+            kind: Kind of the refusal.
             cause: What happened.
-            next_in: Seconds until an endpoint takes a request by the limit that it
-                names, None if no limit is the cause.
+            limit_wait: Seconds until an endpoint's rate limit admits a request, None if
+                no limit is the cause.
         """
         job = state.job
         if state.failure is not None and not job.caller.begun:
@@ -373,7 +378,7 @@
         return job.failure(kind, wait)
 
     def _retry_after(self, job: Job, kind: ErrorKind) -> float:
-        """Return the seconds after which the caller of a refused request comes back."""
+        """Return the seconds after which a refused caller should retry."""
         draw = self.rng.random()
         if kind is ErrorKind.RETRIES_EXHAUSTED:
             return retry_after_denied(draw)
