--- a/packages/relay/src/lacewingcourse/relay/connections.py
+++ b/packages/relay/src/lacewingcourse/relay/connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, some of which are kept for further requests."""
+"""Pooled connections to endpoints."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 from lacewingcourse.relay.address import split_address
 
-#: Seconds in which a connection to an endpoint must be made. Delays are a few
-#: milliseconds; an opening packet that was dropped is sent again after a second.
+#: Seconds in which a connection to an endpoint must be made. Network delays are a few
+#: milliseconds; a SYN packet that was dropped is sent again only after a second.
 CONNECT_TIMEOUT = 0.35
-#: Seconds for which an idle connection is kept if the endpoint does not tell.
+#: Seconds for which an idle connection is kept if the endpoint sends no Keep-Alive.
 DEFAULT_KEEP_ALIVE = 2.0
-#: Part of a told time after which an idle connection is not used any more.
+#: Share of the keep-alive time after which an idle connection is no longer used.
 KEEP_ALIVE_SHARE = 0.6
-#: Idle connections that are kept for each address.
+#: Maximum number of idle connections per address.
 MAX_IDLE_PER_ADDRESS = 64
-#: Milliseconds after which unacknowledged bytes end a connection.
+#: Milliseconds after which unacknowledged data closes a connection (TCP_USER_TIMEOUT).
 USER_TIMEOUT_MS = 1500
 
 
 class Unsent(Enum):
-    """Why a request never left this process."""
+    """Why a request was not sent."""
 
     UNREACHABLE = "no connection could be made"
     OVERDUE = "the time was over before it was sent"
@@ -37,26 +37,26 @@
 
 @attrs.frozen
 class NotSent:
-    """A sentinel value: the request never left this process.
+    """A sentinel value: the request was not sent.
 
     Attributes:
-        cause: Why.
+        cause: Why it was not sent.
     """
 
     cause: Unsent
 
     @property
     def reason(self) -> str:
-        """What happened, for people."""
+        """The cause as text."""
         return self.cause.value
 
 
 class EndpointStream(IOStream):
-    """A connection to an endpoint."""
+    """The byte stream of a connection to an endpoint."""
 
     @property
     def clean(self) -> bool:
-        """Whether it is open and nothing waits to be read."""
+        """Whether it is open and has no unread data."""
         if self.closed() or self._read_buffer_size:
             return False
         try:
@@ -73,9 +73,9 @@
     """A connection to an endpoint.
 
     Attributes:
-        stream: The connection.
+        stream: Its byte stream.
         address: Address of the endpoint.
-        usable_until: Time until which it may be used again, seconds.
+        usable_until: Time until which it may be reused, seconds.
         reused: Whether it carried another exchange before.
     """
 
@@ -85,22 +85,23 @@
     reused: bool = False
 
     def close(self) -> None:
-        """End it at once."""
+        """Close it at once."""
         self.stream.close()
 
 
 @attrs.define
 class ConnectionPool:
-    """Connections to endpoints that may be used again.
+    """Idle connections to endpoints, kept for reuse.
 
     Attributes:
-        idle: Idle connections by address, the newest last; no address without one.
+        idle: Idle connections by address, the newest last. Addresses without any are
+            removed.
     """
 
     idle: dict[str, list[Connection]] = attrs.field(factory=dict)
 
     def acquire(self, address: str, now: float) -> Connection | None:
-        """Return an idle connection, None if there is none that may be used."""
+        """Remove and return a usable idle connection, None if there is none."""
         available = self.idle.get(address, [])
         while available:
             connection = available.pop()
@@ -114,7 +115,7 @@
         return None
 
     async def connect(self, address: str) -> Connection | NotSent:
-        """Return a new connection, or why it cannot be made in time."""
+        """Return a new connection, or why it could not be made in time."""
         sock = self._socket()
         if sock is None:
             return NotSent(Unsent.NO_DESCRIPTOR)
@@ -130,10 +131,10 @@
         return Connection(stream, address)
 
     def _socket(self) -> socket.socket | None:
-        """Return a new socket, None if this process has no file descriptor for it.
+        """Return a new socket, None if this process has no file descriptor left.
 
-        Idle connections give theirs up first: a request is worth more than the time
-        that a kept connection saves another one.
+        If none is left, all idle connections are closed and it tries once more: this
+        request matters more than the time that reuse saves for later ones.
         """
         for _ in range(2):
             try:
@@ -146,7 +147,14 @@
     def release(
         self, connection: Connection, keep_alive: float | None, now: float
     ) -> None:
-        """Keep a connection whose last answer was read to its end."""
+        """Keep a connection whose last response was read to its end, or close it.
+
+        Args:
+            connection: The connection.
+            keep_alive: Seconds for which the endpoint keeps it open while it is idle,
+                None if the endpoint does not say.
+            now: Current time, seconds.
+        """
         available = self.idle.setdefault(connection.address, [])
         lifetime = DEFAULT_KEEP_ALIVE if keep_alive is None else keep_alive
         if (
@@ -162,12 +170,12 @@
         available.append(connection)
 
     def expire(self, now: float) -> None:
-        """Close the connections that may not be used any more."""
+        """Close the connections that may no longer be used."""
         for address, available in list(self.idle.items()):
             self._close(address, [c for c in available if c.usable_until <= now])
 
     def close_idle(self, address: str) -> None:
-        """Close all idle connections to an endpoint, which has dropped one of them."""
+        """Close all idle connections to an endpoint, as one of them was stale."""
         self._close(address, list(self.idle.get(address, ())))
 
     def _close(self, address: str, connections: list[Connection]) -> None:
@@ -178,7 +186,7 @@
         self._drop_if_empty(address)
 
     def _drop_if_empty(self, address: str) -> None:
-        """Keep no address without a connection: those that are kept are preferred."""
+        """Remove an address without connections; path choice prefers listed ones."""
         if not self.idle.get(address):
             self.idle.pop(address, None)
 
--- a/packages/relay/src/lacewingcourse/relay/sending.py
+++ b/packages/relay/src/lacewingcourse/relay/sending.py
@@ -1,4 +1,4 @@
-"""Sends of requests to endpoints, with what became of each."""
+"""Sending of requests to endpoints, and reading of responses of plain services."""
 
 from __future__ import annotations
 
@@ -36,26 +36,25 @@
     from lacewingcourse.relay.ports import CallerRequest, RequestCodec
 
 
-#: Status from which an endpoint's answer is its own failure.
+#: Lowest HTTP status that reports a failure of the endpoint itself.
 SERVER_ERROR = 500
-#: Seconds after a send in which the end of a kept connection tells that it had been
-#: dropped. Later ends may be crashes under the request.
+#: Seconds after a send within which the close of a pooled connection means that it was
+#: stale. After a later close the endpoint may have crashed while it ran the request.
 STALE_CONNECTION_WINDOW = 0.1
 
 
 @attrs.define
 class Sender:
-    """Sends requests over pooled connections, within what may be sent again.
+    """Sends requests over pooled connections, within retry budget and rate limits.
 
     Attributes:
         pool: Connections to endpoints.
-        codec: How requests look on the platform.
-        clock: Returns the present time in seconds.
-        budget: Retries that are left. Each send of a request beyond its first takes
-            one.
-        limits: What may be sent to endpoints that name limits.
-        on_head: Called with the head of each answer, what it answers, and when that was
-            sent in seconds.
+        codec: Encodes and decodes HTTP headers as the platform defines them.
+        clock: Returns the current time in seconds.
+        budget: Retry budget. Each send of a request beyond its first uses one retry.
+        limits: Rate limits of endpoints.
+        on_head: Called for each response head with what was sent, the head, and the
+            time of the send in seconds.
     """
 
     pool: ConnectionPool
@@ -66,15 +65,15 @@
     on_head: Callable[[Sending, AnswerHead, float], None] = lambda *news: None
 
     async def reserve(self, address: str, fresh: bool) -> Connection | NotSent:
-        """Return a connection to an endpoint that nobody uses.
+        """Return an idle or new connection to an endpoint, or why there is none.
 
-        A connection that was used may have been closed by the endpoint just now, and
-        then nobody knows whether the request ran; what may run only once therefore
-        goes over a new one.
+        The endpoint may be closing a pooled connection at this moment, and then it is
+        unknown whether the request ran. A request that may run only once therefore
+        needs a new connection.
 
         Args:
             address: Address of the endpoint.
-            fresh: Whether it must never have been used before.
+            fresh: Whether the connection must be new.
         """
         kept = None if fresh else self.pool.acquire(address, self.clock())
         return kept or await self.pool.connect(address)
@@ -86,16 +85,16 @@
         fresh: bool,
         reserved: Connection | None = None,
     ) -> Exchange | NotSent:
-        """Send a request if it may still be sent once there is a connection.
+        """Send a request if it may still be sent once a connection is available.
 
-        It holds neither a retry nor a place under a limit afterwards, whether it was
-        sent or not.
+        The request's holds on the retry budget and the rate limits are released,
+        whether it was sent or not.
 
         Args:
             job: The request.
-            sending: Where to send it, and with what.
-            fresh: Whether to send it over a connection never used before.
-            reserved: Connection to send it over, None to take one.
+            sending: Destination and parameters of the send.
+            fresh: Whether to send it over a new connection.
+            reserved: Connection to send it over, None to acquire one.
         """
         started = self.clock()
         connection = reserved or await self.reserve(sending.address, fresh)
@@ -113,16 +112,16 @@
         return self.start(job, sending, connection)
 
     def release_holds(self, job: Job) -> None:
-        """Give back the retry and the place under a limit that a request holds."""
+        """Release the retry and the rate limit permit that a request holds."""
         self.budget.release(job.service, job)
         self.limits.release(job)
 
     def start(self, job: Job, sending: Sending, connection: Connection) -> Exchange:
-        """Send a request over a connection, whatever speaks against it.
+        """Send a request over a connection without further checks.
 
         Args:
             job: The request.
-            sending: Where to send it, and with what.
+            sending: Destination and parameters of the send.
             connection: The connection.
         """
         request, sent_at = job.request, self.clock()
@@ -138,7 +137,7 @@
         return exchange
 
     def _claim_send(self, job: Job, sending: Sending, now: float) -> Unsent | None:
-        """Take what a send needs; return why it may not be sent, if so."""
+        """Use up the retry and the permit of a send; return why it is denied, if so."""
         if job.refused_at(now) is not None:
             return Unsent.LEAVING
         if sending.time_left <= 0:
@@ -151,7 +150,7 @@
         return None
 
     def release(self, exchange: Exchange, head: AnswerHead | None) -> None:
-        """Keep or close the connection of an exchange that is over."""
+        """Return the connection of a finished exchange to the pool, or close it."""
         if head is not None and exchange.reusable:
             self.pool.release(exchange.connection, head.keep_alive, self.clock())
         else:
@@ -159,12 +158,12 @@
 
 
 async def next_arrival(exchange: Exchange, until: float, now: float) -> Arrival:
-    """Return what arrives next, `Stalled` if nothing does until a time.
+    """Return the next arrival of an exchange, `Stalled` if there is none in time.
 
     Args:
         exchange: The exchange.
         until: Time until which to wait, seconds.
-        now: Present time.
+        now: Current time, seconds.
     """
     if not exchange.arrivals.empty():
         return exchange.arrivals.get_nowait()
@@ -177,7 +176,7 @@
 
 @attrs.frozen
 class WholeAnswer:
-    """A whole answer of a plain service.
+    """A complete response of an endpoint.
 
     Attributes:
         head: Its head.
@@ -190,14 +189,14 @@
 
 @attrs.frozen
 class NoAnswer:
-    """A sentinel value: a send brought no answer that may be passed on.
+    """A sentinel value: a send produced no response that may be passed on.
 
     Attributes:
         outcome: How far the request got.
         reason: What happened.
-        timed_out: Whether the time was over.
-        connection_lost: Whether the endpoint's connection ended before its answer.
-        dropped: Whether that connection had been kept, and nothing came over it.
+        timed_out: Whether the request's deadline passed.
+        connection_lost: Whether the connection closed before the response was complete.
+        dropped: Whether it was a stale pooled connection.
     """
 
     outcome: SendOutcome
@@ -209,15 +208,15 @@
 
 @attrs.define
 class AnswerReader:
-    """Reads the answer of a plain service.
+    """Reads the response of a plain service.
 
     Attributes:
-        sender: What sent the request.
-        exchange: What was sent.
+        sender: Sender of the request.
+        exchange: HTTP exchange of the request.
         request: The caller's request.
         sent_at: When it was sent, seconds.
-        head: Head of the answer, None before it.
-        body: Body as far as it arrived.
+        head: Head of the response, None before it.
+        body: Body received so far.
     """
 
     sender: Sender
@@ -228,10 +227,10 @@
     body: bytearray = attrs.field(factory=bytearray)
 
     async def read(self, until: float) -> WholeAnswer | NoAnswer | None:
-        """Return the answer; None if it has not ended by some time.
+        """Return the response, or None if it is not complete in time.
 
         Args:
-            until: That time, seconds.
+            until: Time until which to wait, seconds. Reading may continue after it.
         """
         while True:
             now = self.sender.clock()
@@ -255,13 +254,13 @@
 
         Args:
             reason: Why it is closed.
-            timed_out: Whether the time was over.
+            timed_out: Whether the request's deadline passed.
         """
         self.exchange.abandon()
         return NoAnswer(SendOutcome.MAY_HAVE_RUN, reason, timed_out)
 
     def _classify(self, end: End) -> WholeAnswer | NoAnswer:
-        """Return what an answer that has ended amounts to."""
+        """Return the result of a response that has ended."""
         head = self.head
         if head is None or not end.complete:
             reason = end.reason or "no head"
--- a/packages/relay/src/lacewingcourse/relay/upstream.py
+++ b/packages/relay/src/lacewingcourse/relay/upstream.py
@@ -1,4 +1,4 @@
-"""The exchange of one request with an endpoint over a connection to it."""
+"""One HTTP exchange with an endpoint: a request and the response to it."""
 
 from __future__ import annotations
 
@@ -22,14 +22,17 @@
 
     from lacewingcourse.relay.connections import Connection
 
-#: Bytes that an endpoint's head may have.
+#: Maximum size of a response head in bytes.
 MAX_HEAD_BYTES = 64 * 1024
-#: Bytes that an endpoint's body may have.
+#: Maximum size of a response body in bytes.
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class SendOutcome(Enum):
-    """How far a request got; decides what may be told and what may be repeated."""
+    """How far a request got.
+
+    It decides what the caller may be told, and whether the request may be sent again.
+    """
 
     NEVER_LEFT = "never_left"
     MAY_HAVE_RUN = "may_have_run"
@@ -39,7 +42,7 @@
 
 @attrs.frozen
 class Head:
-    """The head of an answer arrived."""
+    """A response head was received."""
 
     status: int
     headers: HTTPHeaders
@@ -47,18 +50,18 @@
 
 @attrs.frozen
 class Data:
-    """Bytes of a body arrived."""
+    """Bytes of a response body were received."""
 
     data: bytes
 
 
 @attrs.frozen
 class End:
-    """An answer ended.
+    """A response ended.
 
     Attributes:
-        complete: Whether its framing says that it is whole.
-        reason: What happened otherwise.
+        complete: Whether it is complete by its HTTP framing.
+        reason: What happened if it is not.
     """
 
     complete: bool
@@ -67,7 +70,7 @@
 
 @attrs.frozen
 class Stalled:
-    """Nothing arrived for too long.
+    """Nothing was received for too long.
 
     Attributes:
         cause_known: Whether an endpoint on the path is known to be the cause.
@@ -78,30 +81,30 @@
 
 @attrs.frozen
 class Abandoned:
-    """The caller left, or this process gives the request up."""
+    """The request was given up, as its caller left."""
 
     reason: str
 
 
 @attrs.frozen
 class StandbySettled:
-    """A run that was begun beside this one was accepted, or not."""
+    """A standby attempt was accepted or has failed."""
 
 
 Arrival = Head | Data | End | Stalled | Abandoned | StandbySettled
 
 
 class Exchange(HTTPMessageDelegate):
-    """A request that was sent to an endpoint, and what arrives of its answer.
+    """A request that was sent to an endpoint, and the response to it.
 
     Attributes:
         connection: Connection that carries it.
-        arrivals: What arrived and was not taken yet.
-        complete: Whether an answer was read to its end.
-        heard: Whether anything of an answer arrived.
-        sink: Takes bytes of the body as they arrive, None to put them into
-            `arrivals`. A stream's events go through it without a switch of tasks,
-            which saves a fifth of an entry's processor time.
+        arrivals: Received items that were not processed yet.
+        complete: Whether the response was read to its end.
+        received_any: Whether any part of a response was received.
+        sink: Called with body bytes as they are received, None to put them into
+            `arrivals`. Events of a stream go through it without a task switch, which
+            saves a fifth of an entry's processor time.
     """
 
     def __init__(
@@ -123,7 +126,7 @@
     def start(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes
     ) -> None:
-        """Send the request; what arrives is put into `arrivals`."""
+        """Send the request, and start to read responses into `arrivals`."""
         params = HTTP1ConnectionParameters(
             max_header_size=MAX_HEAD_BYTES, max_body_size=MAX_BODY_BYTES
         )
@@ -146,17 +149,17 @@
 
     @property
     def was_dropped(self) -> bool:
-        """Whether the endpoint seems to have dropped the connection before its use.
+        """Whether the connection was probably stale before the request was sent.
 
-        One that was kept and ends before a byte of an answer nearly always had been
-        dropped while it was idle; that the request ran is not ruled out.
+        A pooled connection that closes before any byte of a response has nearly always
+        been closed by the endpoint while it was idle. The request may still have run.
         """
         return self.connection.reused and not self.received_any
 
     def headers_received(
         self, start_line: ResponseStartLine | RequestStartLine, headers: HTTPHeaders
     ) -> None:
-        """Take the head of an answer."""
+        """Process a response head; informational (1xx) ones are ignored."""
         self.received_any = True
         status = start_line.code
         if status < 200:
@@ -173,7 +176,7 @@
             self.arrivals.put_nowait(Head(status, headers))
 
     def data_received(self, chunk: bytes) -> None:
-        """Take bytes of the body."""
+        """Process bytes of the body."""
         if self._skipping:
             return
         if self.sink is not None:
@@ -182,7 +185,7 @@
             self.arrivals.put_nowait(Data(chunk))
 
     def finish(self) -> None:
-        """Take the end of an answer."""
+        """Process the end of a response."""
         if self._skipping:
             return
         error = self.connection.stream.error if self._until_close else None
@@ -193,7 +196,7 @@
         self.arrivals.put_nowait(End(True))
 
     def on_connection_close(self) -> None:
-        """Take the early end of an answer."""
+        """Process the close of the connection in the middle of a response."""
         if not self._skipping:
             self.arrivals.put_nowait(End(False, "ended early"))
 
@@ -202,7 +205,7 @@
         http: HTTP1Connection,
         params: HTTP1ConnectionParameters,
     ) -> None:
-        """Read answers until the one to this request has come."""
+        """Read responses until the one to this request, and skip foreign ones."""
         try:
             while True:
                 self._skipping = False
