--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -1,4 +1,4 @@
-"""Finds streams that stand still behind a dead endpoint, and sends them elsewhere."""
+"""Detects streams that stall behind a dead endpoint, and moves them elsewhere."""
 
 from __future__ import annotations
 
@@ -24,29 +24,29 @@
     from lacewingcourse.relay.path_finder import PathFinder
     from lacewingcourse.relay.ports import EngineReport, EngineReports
 
-#: Seconds between two looks, a fraction of the shortest silence that is looked at.
+#: Seconds between two checks, a fraction of the shortest silence that is examined.
 CHECK_PERIOD = 0.02
-#: Seconds between two questions to the same endpoint.
+#: Seconds between two probes of the same endpoint.
 PROBE_PERIOD = 0.1
-#: Seconds in which an endpoint must answer that lives. A report takes a round trip and
-#: waits for no slot.
+#: Seconds in which a live endpoint responds to a probe. A report takes one round trip,
+#: and does not wait for a slot of the engine.
 PROBE_TIMEOUT = 0.05
-#: Seconds after which a question is put a second time, or at once if its connection
-#: failed: a packet may be lost, and a kept connection may have been reset.
+#: Seconds after which a second probe is sent; it is sent at once if the first one
+#: failed. A packet may have been lost, or a pooled connection reset.
 SECOND_PROBE_DELAY = 0.02
-#: Seconds for which it is believed without a question that an endpoint is dead. An
+#: Maximum age in seconds of a suspicion on which streams are moved without a probe. An
 #: older suspicion may have been refuted meanwhile.
 MAX_SUSPICION_AGE = 0.5
-#: Seconds between two questions that count as put together.
+#: Seconds between two probes that count as sent at the same time.
 CONCURRENT_PROBE_WINDOW = 0.005
 
 
 @attrs.frozen
 class AllUnavailable:
-    """A sentinel value: neither an endpoint nor those compared with it answered.
+    """A sentinel value: neither an endpoint nor its controls responded.
 
     Attributes:
-        compared: Addresses of the others.
+        compared: Addresses of the controls.
     """
 
     compared: tuple[str, ...]
@@ -54,23 +54,24 @@
 
 @attrs.define
 class StallWatcher:
-    """Watches the streams of this entry, and asks endpoints that fall silent.
+    """Watches the streams of this entry, and probes endpoints that fall silent.
 
     Attributes:
-        reports: What engines tell of themselves.
-        suspects: Endpoints that are left out.
+        reports: Fetches the engines' status reports.
+        suspects: Excluded endpoints.
         speeds: Endpoints that run slower than published.
         finder: Finds paths.
-        clock: Returns the present time in seconds.
-        log: Log of decisions.
-        on_suspect: Called with endpoints that were found to be dead, and why.
-        on_start: Called with an endpoint's name and when it says that it started;
-            tells whether that ended the incarnation that was known.
-        watch: Decides which streams may stand still.
-        jobs: The requests whose streams are watched.
-        asked: When each endpoint was last asked, by address.
-        probing: Addresses of the endpoints that are being asked.
-        answered: When the last question that each address answered was put.
+        clock: Returns the current time in seconds.
+        log: Decision log.
+        on_suspect: Called with endpoints that were found dead, and the reason.
+        on_start: Called with an endpoint's name and the start time that it reports;
+            returns whether it has restarted since it was last known.
+        watch: Decides which streams may have stalled.
+        jobs: Requests of the watched streams.
+        probed_at: When each endpoint was last probed, by address, seconds.
+        probing: Addresses of the endpoints that are being probed.
+        answered_probe_at: When the last probe that each address responded to was sent,
+            seconds.
     """
 
     reports: EngineReports
@@ -88,35 +89,35 @@
     answered_probe_at: dict[str, float] = attrs.field(factory=dict)
 
     def begin(self, job: Job, now: float) -> None:
-        """Watch a stream that was sent."""
+        """Start to watch a stream that was sent."""
         job.watched = self.watch.begin(
             job.path, now, job.route.gap, job.route.objective
         )
         self.jobs[job.watched] = job
 
     def progress(self, job: Job, now: float) -> None:
-        """Note that events of a stream arrived."""
+        """Record that events of a stream arrived."""
         if job.watched is not None:
             job.watched.progress(now)
 
     def resume(self, job: Job, now: float) -> None:
-        """Watch a stream again that was to move and goes on after all."""
+        """Watch a stream again that resumed before it was moved."""
         if job.watched is None:
             self.begin(job, now)
             self.progress(job, now)
 
     def end(self, job: Job) -> None:
-        """Note the end of a run of a stream."""
+        """Stop watching a stream, as its attempt has ended."""
         if job.watched is not None:
             self.watch.end(job.watched)
             self.jobs.pop(job.watched, None)
             job.watched = None
 
     async def run(self) -> None:
-        """Look for streams that stand still, for ever.
+        """Check for stalled streams periodically, for ever.
 
-        Nothing is concluded right after this process itself stood still, when what
-        arrived meanwhile has not been read.
+        A check is skipped if the event loop was held up before it: events that arrived
+        meanwhile have not been read yet.
         """
         last = self.clock()
         while True:
@@ -127,7 +128,7 @@
             last = now
 
     def check(self, now: float) -> None:
-        """Move silent streams whose cause is known, ask about the others."""
+        """Move silent streams whose cause is known; probe endpoints of the others."""
         known = self.suspects.silent(now, since=now - MAX_SUSPICION_AGE)
         for silence in self.watch.silent(now):
             cause = known.intersection(p.endpoint for p in silence.unheard)
@@ -141,7 +142,7 @@
         self._probe_slow(now)
 
     def _probe_slow(self, now: float) -> None:
-        """Ask endpoints that were slow whether they still are, while they are used."""
+        """Probe endpoints that were slow and that streams still use."""
         slow = self.speeds.expiring(now)
         if slow:
             parts = {part for w in self.watch.streams for part in w.path.parts}
@@ -152,11 +153,11 @@
             self.probe(part, now)
 
     def _move_early(self, endpoint: str, now: float) -> None:
-        """Send silent streams on whose endpoint has not answered at once.
+        """Move silent streams off an endpoint that did not respond to the first probe.
 
-        The second question tells for sure, but with the new run a caller then waits
-        longer than a pause in an answer should be. On a fleet with much room a
-        needless move costs little.
+        Only the second probe is conclusive. But if streams waited for it, the pause
+        until events arrive from the next attempt would be longer than the route allows.
+        On a fleet with much free memory an unnecessary move costs little.
         """
         unheard = {endpoint}
         for watched, job in list(self.jobs.items()):
@@ -167,11 +168,11 @@
                 self._move(watched, unheard)
 
     def probe(self, part: Part, now: float) -> None:
-        """Ask an endpoint whether it lives, unless it was asked just now.
+        """Probe whether an endpoint is alive, unless it was probed just now.
 
-        What the first part tells of requests that stand still at it is older than the
-        pause that callers accept; whether any part answers at all is news of this
-        moment.
+        The first part of a path also reports stalled requests, but only after a longer
+        pause than callers accept. Whether a part responds at all is current
+        information.
         """
         probed_at = self.probed_at.get(part.address, float("-inf"))
         if part.address in self.probing or now - probed_at < PROBE_PERIOD:
@@ -192,12 +193,12 @@
         finally:
             self.probing.discard(part.address)
         if isinstance(found, Undecodable):
-            # It answered, so it is no dead one; what it says is not known.
+            # It responded, so it is alive; the content of its report is unknown.
             self.log.belief(
                 "report_unreadable", endpoint=part.endpoint, reason=found.reason
             )
         elif isinstance(found, Unavailable):
-            # A process that stood still itself has not read an answer that came.
+            # If the event loop was held up, a response may have arrived unread.
             if (
                 self.clock() - started
                 < PROBE_TIMEOUT + SECOND_PROBE_DELAY + CHECK_PERIOD
@@ -216,7 +217,7 @@
     async def _probe_twice(
         self, part: Part, started: float
     ) -> EngineReport | Unavailable | Undecodable:
-        """Return an endpoint's report, or why neither of two questions brought one."""
+        """Return an endpoint's report, or why neither of two probes returned one."""
         first = asyncio.ensure_future(self._fetch_report(part.address))
         await asyncio.wait({first}, timeout=SECOND_PROBE_DELAY)
         if first.done() and not isinstance(first.result(), Unavailable):
@@ -240,7 +241,7 @@
     async def _fetch_report(
         self, address: str
     ) -> EngineReport | Unavailable | Undecodable:
-        """Put one question to an endpoint."""
+        """Send one probe to an endpoint, and return its report."""
         probed_at = self.clock()
         found = await self.reports.report(address, PROBE_TIMEOUT)
         if not isinstance(found, Unavailable):
@@ -248,11 +249,11 @@
         return found
 
     def _others_answered(self, part: Part, started: float) -> bool:
-        """Tell whether others answered what they were asked together with an endpoint.
+        """Return whether others responded to probes sent at the same time.
 
-        While something fills the link of this entry, nobody's answers come in time:
-        silence then tells of the entry, and not of those that it asks. What was asked
-        later may be answered over a link that is free again.
+        While the network link of this entry is saturated, no response arrives in time.
+        A missing response then says nothing about the endpoint. Responses to later
+        probes do not count, as the link may be free again by then.
         """
         since = started - CONCURRENT_PROBE_WINDOW
         until = started + SECOND_PROBE_DELAY + CONCURRENT_PROBE_WINDOW
@@ -265,7 +266,7 @@
     async def _probe_with_controls(
         self, part: Part
     ) -> EngineReport | Unavailable | Undecodable | AllUnavailable:
-        """Ask an endpoint once more, together with others that should answer."""
+        """Probe an endpoint once more, together with controls that should respond."""
         others = self._controls(part)
         if not others:
             return await self._fetch_report(part.address)
@@ -278,10 +279,10 @@
         return own
 
     def _controls(self, part: Part) -> list[str]:
-        """Return addresses of endpoints to compare one with.
+        """Return addresses of control endpoints to compare one endpoint with.
 
-        The one heard last lives if this entry hears anything; one that no stream uses
-        does not share the fate of those that fell silent together.
+        These are the endpoint with the latest event, which is probably alive, and one
+        that no stream uses, so that it cannot be among those that fell silent together.
         """
         used = {p.address for w in self.watch.streams for p in w.path.parts}
         heard = self.watch.last_heard(besides=part.address)
@@ -289,7 +290,7 @@
         return [address for address in (heard, unused) if address is not None]
 
     def _apply_report(self, source: Part, found: EngineReport) -> None:
-        """Leave out what an engine names as the cause that requests stand still."""
+        """Exclude the endpoints that an engine reports as the cause of stalls."""
         addresses = {stalled.address for stalled in found.stalled}
         parts = {p for w in self.watch.streams for p in w.path.parts}
         dead = {part.endpoint for part in parts if part.address in addresses}
@@ -297,24 +298,24 @@
             self._declare_dead(dead, f"named by {source.address} as not answering")
 
     def move_streams_from(self, ended: str) -> None:
-        """Send the streams through an incarnation that has ended on elsewhere."""
+        """Move the streams that use an incarnation which has ended."""
         for watched in list(self.jobs):
             if watched.path.uses({ended}):
                 self._move(watched, {ended})
 
     def _declare_dead(self, endpoints: set[str], reason: str) -> None:
-        """Leave out endpoints, and send the streams through them on elsewhere."""
+        """Report endpoints as dead, and move the silent streams that use them."""
         self.on_suspect(tuple(sorted(endpoints)), reason)
         now = self.clock()
         for watched in list(self.jobs):
-            # Events that flow refute the suspicion; one that falls silent later is
-            # seen at the next look.
+            # A stream that still receives events refutes the suspicion. If it falls
+            # silent later, the next check finds it.
             silent = now - watched.progressed_at > watched.early_patience
             if silent and watched.path.uses(endpoints):
                 self._move(watched, endpoints)
 
     def _move(self, watched: Watched, endpoints: set[str]) -> None:
-        """Send a stream on elsewhere, if it may go on at all."""
+        """Signal a stall to a stream, if it may move, and stop watching it."""
         job = self.jobs[watched]
         if job.may_move and job.current is not None:
             job.avoid.update(endpoints)
