--- a/packages/relay/src/lacewingcourse/relay/causes.py
+++ b/packages/relay/src/lacewingcourse/relay/causes.py
@@ -1,4 +1,4 @@
-"""Why requests came late, were refused or lost, from the entries' log lines."""
+"""Classifies from log lines of entries why requests were late, refused or lost."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-#: Seconds around the loss of a run in which a suspicion of an endpoint explains it.
-#: Questions are answered, and suspicions told, within a fraction of a second.
+#: Seconds before and after the loss of an attempt within which a suspicion of an
+#: endpoint explains it. Probes are answered, and suspicions exchanged between entries,
+#: within a fraction of a second.
 SUSPICION_WINDOW = 1.0
-#: Share of the objective spent waiting for room from which that is the cause.
+#: Share of the objective above which time spent waiting for room is the cause.
 WAIT_SHARE = 0.5
-#: Entries that are named for each cause.
+#: Maximum number of entries named per cause.
 MAX_SHOWN_ENTRIES = 5
-#: Cause of a request that came in time.
+#: Cause of requests that were answered in time.
 IN_TIME = "in time"
-#: Cause of one that nothing explains.
+#: Cause of requests to which no other cause applies.
 UNKNOWN = "not explained"
 
 
 @attrs.define
 class RequestHistory:
-    """What the log lines tell of one request.
+    """The log lines of one request.
 
     Attributes:
-        request: Its identifier.
-        sends: Lines of its sends.
-        losses: Lines of sends that brought nothing, or of streams that broke off.
-        end: Line of its end, None if its entry told none.
-        suspicions: Times at which endpoints were found dead, over all entries.
-        objective: Milliseconds in which its first event is wanted.
-        pause: Milliseconds that may pass between two events, where its lines do not
-            tell these two.
+        request: Id of the request.
+        sends: `sent` lines.
+        losses: `lost` lines: sends without a response, or streams that broke off.
+        end: Line of its end, None if its entry logged none.
+        suspicions: Times at which any entry found endpoints dead, in order, seconds.
+        objective: Milliseconds in which the first event is wanted.
+        pause: Milliseconds that may pass between two events. This and the objective
+            come from the line of its end if that has them.
     """
 
     request: str
@@ -57,19 +58,19 @@
 
     @property
     def served(self) -> bool:
-        """Whether an endpoint's answer reached the caller."""
+        """Whether it was answered by an endpoint."""
         return self.end is not None and self.end["event"] == "served"
 
     @property
     def refused_kind(self) -> str:
-        """Kind of the refusal it ended with, empty if it did not."""
+        """Kind of the refusal that it ended with, empty if it was not refused."""
         if self.end is None or self.end["event"] != "refused":
             return ""
         return self.end["kind"]
 
     @property
     def first_ms(self) -> float:
-        """Milliseconds to its first event, or to its whole answer."""
+        """Milliseconds to its first event, or to its end if it had none."""
         end = self.end or {}
         first = end.get("first_ms")
         return end.get("took_ms", 0.0) if first is None else first
@@ -86,16 +87,17 @@
 
     @property
     def has_explained_loss(self) -> bool:
-        """Whether an endpoint was found dead around the loss of one of its runs."""
+        """Whether an endpoint was at fault or found dead near one of its losses."""
         return any(
             line.get("fault") or self._suspected_around(line["time"])
             for line in self.losses
         )
 
     def _suspected_around(self, at: float) -> bool:
-        """Tell whether an endpoint was found dead around some time.
+        """Return whether an endpoint was found dead around a time in seconds.
 
-        The times are in order, so the first one that is not too early decides.
+        The suspicions are sorted by time, so only the first one that is not too early
+        has to be compared.
         """
         index = bisect_left(self.suspicions, at - SUSPICION_WINDOW)
         return (
@@ -105,23 +107,23 @@
 
     @property
     def entry(self) -> str:
-        """Name of the entry that served it, of the last one if there were several."""
+        """Name of the entry that logged its end, or else its last loss or send."""
         return (self.end or [*self.sends, *self.losses][-1])["process"]
 
 
-#: Causes in the order in which they are asked; the first that applies counts.
+#: Causes in the order in which they are tested; the first one that applies counts.
 CAUSES: Registry[Callable[[RequestHistory], bool]] = Registry("cause")
 
 
 @CAUSES.register("lost with its entry")
 def lost_with_entry(history: RequestHistory) -> bool:
-    """Tell whether its entry ended before it told the request's end."""
+    """Return whether its entry ended before it logged the end of the request."""
     return history.end is None
 
 
 @CAUSES.register("caller left")
 def caller_left(history: RequestHistory) -> bool:
-    """Tell whether the caller closed before the answer was whole."""
+    """Return whether the caller left before the response was complete."""
     return history.served and (
         bool(history.end.get("gone")) or not history.end.get("whole")
     )
@@ -129,13 +131,13 @@
 
 @CAUSES.register("broken off by its entry")
 def broken_off(history: RequestHistory) -> bool:
-    """Tell whether its entry ended the answer before it was whole."""
+    """Return whether its entry ended the response before it was complete."""
     return history.end["event"] == "broken_off"
 
 
 @CAUSES.register(IN_TIME)
 def in_time(history: RequestHistory) -> bool:
-    """Tell whether it was answered within its objective and without a long pause."""
+    """Return whether it was answered within its objective and without a long pause."""
     return (
         history.served
         and history.first_ms <= history.objective
@@ -145,79 +147,83 @@
 
 @CAUSES.register("not allowed by the configuration")
 def not_allowed(history: RequestHistory) -> bool:
-    """Tell whether no route or key allowed it."""
+    """Return whether no route or key allowed it."""
     return history.refused_kind in ("unknown_resource", "unauthenticated")
 
 
 @CAUSES.register("refused while leaving")
 def refused_while_leaving(history: RequestHistory) -> bool:
-    """Tell whether its entry was about to end."""
+    """Return whether it was refused because its entry was shutting down."""
     return history.refused_kind == "draining"
 
 
 @CAUSES.register("refused at the limit of an endpoint")
 def refused_at_limit(history: RequestHistory) -> bool:
-    """Tell whether it was kept from an endpoint by the limit that this names."""
+    """Return whether it was refused because of an endpoint's rate limit."""
     return history.refused_kind == "overloaded" and bool(history.end.get("limited"))
 
 
 @CAUSES.register("refused for want of room")
 def refused_for_room(history: RequestHistory) -> bool:
-    """Tell whether no path had memory for it in time."""
+    """Return whether no path had memory for it in time."""
     return history.refused_kind == "overloaded"
 
 
 @CAUSES.register("refused without a path")
 def refused_without_path(history: RequestHistory) -> bool:
-    """Tell whether no endpoints held every layer, or none served the call."""
+    """Return whether no path held every layer, or no endpoint served the call."""
     return history.refused_kind in ("no_route", "not_ready")
 
 
 @CAUSES.register("failed at endpoints")
 def failed_at_endpoints(history: RequestHistory) -> bool:
-    """Tell whether it ended without an answer after it had been sent."""
+    """Return whether it was refused for any other reason, such as a failed send."""
     return bool(history.refused_kind)
 
 
 @CAUSES.register("cut by a lost endpoint, then late")
 def cut_by_loss(history: RequestHistory) -> bool:
-    """Tell whether a run was lost when an endpoint was found dead."""
+    """Return whether an attempt was lost around when an endpoint was found dead."""
     return bool(history.losses) and history.has_explained_loss
 
 
 @CAUSES.register("run given up though no endpoint was found dead, then late")
 def given_up(history: RequestHistory) -> bool:
-    """Tell whether a run was lost without any suspicion."""
+    """Return whether an attempt was lost while no endpoint was found dead."""
     return bool(history.losses)
 
 
 @CAUSES.register("waited for room, then late")
 def waited_for_room(history: RequestHistory) -> bool:
-    """Tell whether most of its objective passed before it was sent."""
+    """Return whether most of its objective passed before it was sent."""
     return history.waited_ms > WAIT_SHARE * history.objective
 
 
 @CAUSES.register("slow first event")
 def slow_first(history: RequestHistory) -> bool:
-    """Tell whether the endpoints took long for its first event."""
+    """Return whether the endpoints were slow to return the first event."""
     return history.first_ms > history.objective
 
 
 @CAUSES.register("long pause on one run")
 def long_pause(history: RequestHistory) -> bool:
-    """Tell whether its endpoints paused for long."""
+    """Return whether its endpoints paused too long between two events."""
     return history.gap_ms > history.pause
 
 
 def histories_of(
     lines: Iterable[dict[str, Any]], objective: float, pause: float
 ) -> list[RequestHistory]:
-    """Return what became of every request that log lines tell of.
+    """Group log lines by request.
 
     Args:
         lines: Log lines in order of time.
-        objective: Milliseconds in which a first event is wanted.
-        pause: Milliseconds that may pass between two events.
+        objective: Milliseconds in which a first event is wanted, unless the lines of a
+            request have its own value.
+        pause: Milliseconds that may pass between two events, likewise.
+
+    Returns:
+        One history per request that has log lines.
     """
     found: dict[str, RequestHistory] = {}
     suspicions: list[float] = []
@@ -256,9 +262,9 @@
     """The requests of one cause.
 
     Attributes:
-        entries: Requests by entry.
-        first_at: Time of the first one's last line, seconds.
-        last_at: Time of the last one's.
+        entries: Number of requests by entry.
+        first_at: Earliest time of a request's last line, seconds.
+        last_at: Latest time of a request's last line, seconds.
     """
 
     entries: Counter[str] = attrs.field(factory=Counter)
@@ -272,7 +278,7 @@
         self.last_at = max(self.last_at, history.last_line_at)
 
     def describe(self, since: float) -> str:
-        """Return at which entries and when, in seconds after some time."""
+        """Return a text of the entries and of the times in seconds after `since`."""
         shown = ", ".join(
             f"{e} {n}" for e, n in self.entries.most_common(MAX_SHOWN_ENTRIES)
         )
@@ -281,11 +287,11 @@
 
 
 def summary_of(histories: Iterable[RequestHistory], seconds: float) -> list[str]:
-    """Return how many requests each cause has, where and when, as lines.
+    """Return a report of the causes: counts, entries and times, as lines of text.
 
     Args:
-        fates: What became of the requests.
-        seconds: Length of the spans of time.
+        histories: The requests.
+        seconds: Length of the time spans in which causes are counted.
     """
     tallies: dict[str, CauseTally] = defaultdict(CauseTally)
     spans: dict[int, Counter[str]] = defaultdict(Counter)
--- a/packages/relay/src/lacewingcourse/relay/explain.py
+++ b/packages/relay/src/lacewingcourse/relay/explain.py
@@ -1,4 +1,4 @@
-"""The command `explain`: why requests ended as they did, from the log lines."""
+"""The command `explain`, which shows from log lines why requests ended as they did."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Seconds before a request's first line in which changes of belief are told with it.
+#: Seconds before a request's first line from which state changes are shown with it.
 CONTEXT_SECONDS = 3.0
-#: Events that tell of a change of what an entry believes.
+#: Events that report a change of an entry's state or of its view of endpoints.
 CONTEXT_EVENTS = frozenset(
     {"configuration", "configuration_source_lost", "configuration_source_regained"}
     | {"directory_lost", "directory_regained", "endpoint_gone", "endpoint_lapsed"}
     | {"suspected", "limit", "duty_taken", "order", "leaving", "started", "reloaded"}
 )
-#: Fields that every line has and the story need not repeat.
+#: Fields that are shown in columns of their own or not at all.
 COMMON_FIELDS = frozenset({"time", "level", "event", "process", "request"})
-#: Exit code for an identifier without any line.
+#: Exit code for a request id without log lines.
 UNKNOWN_REQUEST = 1
-#: Exit code for arguments that cannot be used.
+#: Exit code for invalid arguments or unreadable files.
 BAD_ARGUMENTS = 2
 
 
 class ExplainCommand(Command):
-    """Prints what the log files of several entries tell of one request, or of all."""
+    """Prints the log lines of one request, or a summary of all requests."""
 
     name = "explain"
-    description = "Print the story of one request, or why requests came late"
+    description = "Print the log lines of one request, or why requests were late"
     arguments = [
-        argument("request", "identifier of the request; with --summary a log file"),
+        argument("request", "id of the request; with --summary a log file"),
         argument("files", "log files of entries", optional=True, multiple=True),
     ]
     options = [
-        option("summary", None, "count all requests by what made them late"),
+        option("summary", None, "count all requests by the cause of their delay"),
         option(
             "objective",
             None,
@@ -55,7 +55,7 @@
             flag=False,
             default="200",
         ),
-        option("span", None, "seconds of a row", flag=False, default="2"),
+        option("span", None, "seconds per row of the summary", flag=False, default="2"),
     ]
 
     def handle(self) -> int:
@@ -70,14 +70,14 @@
             return BAD_ARGUMENTS
         timeline = timeline_of(self.argument("request"), lines)
         if not timeline:
-            self.line_error(f"no line tells of {self.argument('request')!r}")
+            self.line_error(f"no log line has request {self.argument('request')!r}")
             return UNKNOWN_REQUEST
         for line in timeline:
             self.line(line)
         return 0
 
     def _summarise(self) -> int:
-        """Print the causes of all requests of the log files."""
+        """Print a summary of all requests in the log files; return the exit code."""
         values = {}
         for name in ("objective", "pause", "span"):
             try:
@@ -85,7 +85,7 @@
             except ValueError:
                 values[name] = 0.0
             if values[name] <= 0:
-                self.line_error(f"--{name} is {self.option(name)!r}, no number above 0")
+                self.line_error(f"--{name} is {self.option(name)!r}, not a number > 0")
                 return BAD_ARGUMENTS
         lines = self._read([self.argument("request"), *self.argument("files")])
         if lines is None:
@@ -96,7 +96,7 @@
         return 0
 
     def _read(self, files: list[str]) -> list[dict[str, Any]] | None:
-        """Return the log lines of files, None if one cannot be read."""
+        """Return the log lines of files, or print why one cannot be read."""
         try:
             return read_lines(files)
         except OSError as error:
@@ -107,8 +107,11 @@
 def read_lines(files: Iterable[str]) -> list[dict[str, Any]]:
     """Return the log lines of files in order of time.
 
-    A line may stand behind other text, such as a prefix of whatever collected it;
-    lines that are no log lines are passed over.
+    Text before the JSON object of a line, such as the prefix of a log collector, is
+    ignored. Lines without a log record are skipped.
+
+    Raises:
+        OSError: If a file cannot be read.
     """
     lines = []
     for name in files:
@@ -120,10 +123,12 @@
 
 
 def timeline_of(request: str, lines: list[dict[str, Any]]) -> list[str]:
-    """Return the lines of a request, with the beliefs that came before or meanwhile.
+    """Return the log lines of a request, with state changes of its entries, as text.
+
+    State changes are included from a few seconds before the request until its end.
 
     Args:
-        request: Its identifier.
+        request: Id of the request.
         lines: Log lines in order of time.
     """
     own = [line for line in lines if line.get("request") == request]
@@ -144,7 +149,7 @@
 
 
 def _decode(line: bytes) -> dict[str, Any] | None:
-    """Return a log line, None if it is none."""
+    """Return the log record of a line, None if it has none."""
     start = line.find(b'{"time":')
     if start < 0:
         return None
@@ -156,7 +161,7 @@
 
 
 def _format_line(line: dict[str, Any], first: float) -> str:
-    """Return a line as people read it, with milliseconds since the request came."""
+    """Format a log line for display, with milliseconds since the request arrived."""
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.items()
