--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -74,15 +74,15 @@
         )
         return self.entries[name]
 
-    def exchange(self, one: Gossip, other_name: str, zone: str) -> None:
+    def exchange(self, initiator: Gossip, other_name: str, zone: str) -> None:
         """Let one entry speak to another, and that one answer."""
         other = self.entries.get(other_name)
         if other is None:
             return
         self.exchanges += 1
-        other.take(decode(encode(one.news_for(other_name, zone)), PeerNews))
-        answer = other.news_for(one.name, one.book.zone)
-        one.take(decode(encode(answer), PeerNews))
+        other.take(decode(encode(initiator.news_for(other_name, zone)), PeerNews))
+        answer = other.news_for(initiator.name, initiator.book.zone)
+        initiator.take(decode(encode(answer), PeerNews))
 
     def run_rounds(self, count: int) -> None:
         """Let all entries speak for some rounds."""
--- a/packages/relay/tests/relay/test_causes.py
+++ b/packages/relay/tests/relay/test_causes.py
@@ -118,14 +118,14 @@
     assert "in time" in tester.io.fetch_output()
 
 
-def test_lines_tell_what_their_route_allows():
+def test_limits_of_a_route_override_the_defaults():
     """So one summary holds for routes with different objectives."""
     slow = SERVED | {"first_ms": 700.0, "objective_ms": 800.0, "pause_ms": 300.0}
     (history,) = histories_of([SENT, slow], 500.0, 200.0)
     assert cause_of(history) == "in time"
 
 
-def test_a_cause_is_told_with_its_entries_and_times():
+def test_a_summary_names_entries_and_times_of_a_cause():
     ends = [
         SERVED | {"request": f"r{n}", "process": f"edge-{n % 2}", "time": 20.0 + n}
         for n in range(3)
@@ -160,7 +160,7 @@
         ("r", "name the log files"),
     ],
 )
-def test_the_command_says_what_is_wrong_with_its_arguments(arguments, problem):
+def test_the_command_reports_invalid_arguments(arguments, problem):
     tester = CommandTester(ExplainCommand())
     assert tester.execute(arguments) == 2
     (line,) = tester.io.fetch_error().splitlines()
--- a/packages/relay/tests/relay/test_concurrent_retries.py
+++ b/packages/relay/tests/relay/test_concurrent_retries.py
@@ -37,7 +37,7 @@
 DEAD_AT = 0.4
 #: When a run breaks, and when one goes on after its pause, seconds.
 BREAKS_AT = CONNECT_SECONDS + 5 * EVENT_INTERVAL
-GOES_ON_AT = BREAKS_AT + 0.4 + EVENT_INTERVAL
+RESUMES_AT = BREAKS_AT + 0.4 + EVENT_INTERVAL
 #: Engines whose run breaks, and stands still for a moment, after an event.
 BREAKS = Engine(pause_after=5, breaks=True)
 PAUSES = Engine(pause_after=5, pause=0.4)
@@ -90,19 +90,19 @@
 
     def make(engine, count=REQUESTS, second=None, **options) -> list[SlowConnectStream]:
         engines = {"a": engine, "c": second or Engine()}
-        made = [SlowConnectStream(shape, engines, **options) for _ in range(count)]
-        for scenario in made:
+        scenarios = [SlowConnectStream(shape, engines, **options) for _ in range(count)]
+        for scenario in scenarios:
             scenario.budget = budget
-        return made
+        return scenarios
 
     return make
 
 
-def serve(made, *scheduled_calls) -> list:
+def serve(scenarios, *scheduled_calls) -> list:
     """Serve requests together; return how each ended."""
 
     async def together():
-        return await asyncio.gather(*(one.serve(*scheduled_calls) for one in made))
+        return await asyncio.gather(*(one.serve(*scheduled_calls) for one in scenarios))
 
     return play(together())
 
@@ -116,78 +116,82 @@
     ("engine", "left"),
     [(BREAKS, RETRIES_LEFT), (Engine(status=REJECTED), RETRIES_LEFT - RESERVED)],
 )
-def test_streams_cut_at_one_moment_stay_within_the_budget(
+def test_streams_broken_at_once_stay_within_the_retry_budget(
     streams, budget, engine, left
 ):
-    made = streams(engine)
-    serve(made)
-    assert retries_of(made) == left
+    scenarios = streams(engine)
+    serve(scenarios)
+    assert retries_of(scenarios) == left
     assert len(budget.retries["rooms"]) == left
 
 
-def test_runs_that_are_dropped_at_one_moment_stay_within_the_budget(streams, budget):
-    made = streams(BREAKS, second=Engine(drops=True))
-    serve(made)
-    assert retries_of(made) == RETRIES_LEFT
+def test_retries_over_stale_connections_stay_within_the_retry_budget(streams, budget):
+    scenarios = streams(BREAKS, second=Engine(drops=True))
+    serve(scenarios)
+    assert retries_of(scenarios) == RETRIES_LEFT
     assert len(budget.retries["rooms"]) == RETRIES_LEFT
 
 
 @pytest.mark.parametrize("single_run", [False, True])
-def test_streams_moved_at_one_moment_stay_within_the_budget(
+def test_streams_moved_at_once_stay_within_the_retry_budget(
     streams, budget, single_run
 ):
-    made = streams(PAUSES, single_run=single_run)
-    serve(made, (DEAD_AT, made[0].declare_dead("b")))
-    assert retries_of(made) == RETRIES_LEFT
+    scenarios = streams(PAUSES, single_run=single_run)
+    serve(scenarios, (DEAD_AT, scenarios[0].declare_dead("b")))
+    assert retries_of(scenarios) == RETRIES_LEFT
     assert len(budget.retries["rooms"]) == RETRIES_LEFT
-    assert all(scenario.caller.body == whole_answer() for scenario in made)
+    assert all(scenario.caller.body == whole_answer() for scenario in scenarios)
 
 
-def test_calls_left_at_one_moment_stay_within_the_budget(budget):
-    made = [SlowConnectCall() for _ in range(REQUESTS)]
-    for scenario in made:
+def test_slow_calls_retried_at_once_stay_within_the_retry_budget(budget):
+    scenarios = [SlowConnectCall() for _ in range(REQUESTS)]
+    for scenario in scenarios:
         scenario.budget = budget
-    ends = serve(made)
-    assert sum(len(scenario.sends) - 1 for scenario in made) == RETRIES_LEFT - RESERVED
+    ends = serve(scenarios)
+    assert (
+        sum(len(scenario.sends) - 1 for scenario in scenarios)
+        == RETRIES_LEFT - RESERVED
+    )
     assert len(budget.retries["desk"]) == RETRIES_LEFT - RESERVED
     assert all(isinstance(end, WholeAnswer) for end in ends)
 
 
-def test_calls_rejected_at_one_moment_stay_within_the_budget(budget):
-    made = [SlowConnectCall(status=REJECTED, slow=QUICK) for _ in range(REQUESTS)]
-    for scenario in made:
+def test_calls_rejected_at_once_stay_within_the_retry_budget(budget):
+    scenarios = [SlowConnectCall(status=REJECTED, slow=QUICK) for _ in range(REQUESTS)]
+    for scenario in scenarios:
         scenario.budget = budget
-    ends = serve(made)
-    assert sum(len(scenario.sends) - 1 for scenario in made) == RETRIES_LEFT - RESERVED
+    ends = serve(scenarios)
+    assert (
+        sum(len(scenario.sends) - 1 for scenario in scenarios)
+        == RETRIES_LEFT - RESERVED
+    )
     assert len(budget.retries["desk"]) == RETRIES_LEFT - RESERVED
     assert all(end.outcome is Outcome.NOT_RUN for end in ends)
 
 
 @pytest.mark.parametrize("engine", [BREAKS, PAUSES_LONG])
-def test_streams_that_cannot_be_sent_leave_their_retries_to_others(
-    streams, budget, engine
-):
+def test_streams_that_cannot_be_sent_release_their_retries(streams, budget, engine):
     lost = streams(engine, unreachable=True)
-    made = streams(engine, RETRIES_LEFT)
-    serve(lost + made, (DEAD_AT, made[0].declare_dead("b")))
+    scenarios = streams(engine, RETRIES_LEFT)
+    serve(lost + scenarios, (DEAD_AT, scenarios[0].declare_dead("b")))
     assert retries_of(lost) == 0
-    assert retries_of(made) == RETRIES_LEFT
+    assert retries_of(scenarios) == RETRIES_LEFT
 
 
 @pytest.mark.parametrize("unreachable", [False, True])
-def test_runs_that_go_on_while_they_connect_leave_their_retries_to_others(
+def test_streams_that_resume_while_connecting_release_their_retries(
     streams, unreachable
 ):
     going_on = streams(PAUSES, RETRIES_LEFT, unreachable=unreachable)
     broken = streams(Engine(pause_after=15, breaks=True), RETRIES_LEFT)
     just_before = going_on[0].declare_dead("b")
-    serve(going_on + broken, (GOES_ON_AT - CONNECT_SECONDS / 2, just_before))
+    serve(going_on + broken, (RESUMES_AT - CONNECT_SECONDS / 2, just_before))
     assert retries_of(going_on) == 0
     assert [scenario.firsts for scenario in broken] == [["a", "c"]] * RETRIES_LEFT
-    assert all(scenario.runs[1][0] < 2 * GOES_ON_AT for scenario in broken)
+    assert all(scenario.runs[1][0] < 2 * RESUMES_AT for scenario in broken)
 
 
-def test_streams_that_lack_descriptors_leave_their_retries_to_others(streams):
+def test_streams_without_descriptors_release_their_retries(streams):
     lacking = streams(
         BREAKS, RETRIES_LEFT, descriptor_outage=(BREAKS_AT, 2 * BREAKS_AT)
     )
@@ -200,13 +204,15 @@
     )
 
 
-def test_calls_that_have_no_other_endpoint_leave_their_retries_to_others(budget):
+def test_calls_without_another_endpoint_release_their_retries(budget):
     lone = [SlowConnectCall(endpoints=1) for _ in range(REQUESTS)]
-    made = [SlowConnectCall() for _ in range(RETRIES_LEFT - RESERVED)]
-    for scenario in lone + made:
+    scenarios = [SlowConnectCall() for _ in range(RETRIES_LEFT - RESERVED)]
+    for scenario in lone + scenarios:
         scenario.budget = budget
-    serve(lone + made)
-    assert [len(scenario.sends) for scenario in made] == [2] * (RETRIES_LEFT - RESERVED)
+    serve(lone + scenarios)
+    assert [len(scenario.sends) for scenario in scenarios] == [2] * (
+        RETRIES_LEFT - RESERVED
+    )
 
 
 @pytest.fixture
@@ -214,15 +220,15 @@
     """Return a function that makes a budget of a loan which ends at some time."""
 
     def make(until: float) -> RetryBudget:
-        made = RetryBudget(0.0, 100.0, 0.0)
+        loan_budget = RetryBudget(0.0, 100.0, 0.0)
         for service in ("rooms", "desk"):
-            made.borrow(service, 1, until - LOAN_TIME)
-        return made
+            loan_budget.borrow(service, 1, until - LOAN_TIME)
+        return loan_budget
 
     return make
 
 
-def test_a_call_whose_loan_ends_while_it_connects_is_refused(loan):
+def test_a_call_whose_borrowed_retry_expires_while_connecting_is_refused(loan):
     scenario = SlowConnectCall(status=REJECTED, slow=QUICK)
     scenario.budget = loan(QUICK + 1.5 * CONNECT_SECONDS)
     (ended,) = serve([scenario])
@@ -231,7 +237,7 @@
     assert ended.outcome is Outcome.NOT_RUN
 
 
-def test_a_stream_whose_loan_ends_while_it_connects_waits_for_a_retry(streams, loan):
+def test_a_stream_whose_borrowed_retry_expires_waits_for_another(streams, loan):
     (scenario,) = streams(BREAKS, 1)
     scenario.budget = loan(BREAKS_AT + CONNECT_SECONDS / 2)
     serve([scenario], (DEAD_AT, scenario.set_slack(UNLIMITED_RETRIES)))
@@ -241,7 +247,7 @@
 
 
 @pytest.mark.parametrize("single_run", [False, True])
-def test_a_run_is_not_closed_for_one_whose_loan_ends_while_it_connects(
+def test_an_attempt_stays_open_if_the_borrowed_retry_expires_while_connecting(
     streams, loan, single_run
 ):
     (scenario,) = streams(PAUSES, 1, single_run=single_run)
@@ -252,7 +258,7 @@
 
 
 @pytest.mark.parametrize("service", ["rooms", "desk"])
-def test_a_request_cancelled_while_it_connects_leaves_its_retry(
+def test_a_request_cancelled_while_connecting_releases_its_retry(
     streams, budget, service
 ):
     calls = [SlowConnectCall(status=REJECTED, slow=QUICK)]
--- a/packages/relay/tests/relay/test_explain.py
+++ b/packages/relay/tests/relay/test_explain.py
@@ -21,7 +21,7 @@
     assert [entry["event"] for entry in found] == ["sent", "served"]
 
 
-def test_a_story_holds_the_request_and_the_beliefs_that_decided_it():
+def test_a_timeline_holds_the_request_and_state_changes_before_it():
     lines = [
         line(1.0, "configuration", version=3),
         line(8.0, "suspected", endpoints=["e1"]),
@@ -42,5 +42,5 @@
     assert "kind=stage_lost" in timeline[-1]
 
 
-def test_an_unknown_request_has_no_story():
+def test_an_unknown_request_has_no_timeline():
     assert timeline_of("r", [line(1.0, "started")]) == []
--- a/packages/relay/tests/relay/test_failover_safety.py
+++ b/packages/relay/tests/relay/test_failover_safety.py
@@ -48,7 +48,7 @@
         return await super().reserve(address, fresh)
 
 
-def test_a_run_is_not_closed_for_a_first_part_that_cannot_be_reached(shape):
+def test_an_attempt_stays_open_if_the_next_path_is_unreachable(shape):
     scenario = UnreachableStream(
         shape, {"a": SHORT_PAUSE}, slack=ONE_RETRY, gone=("c",)
     )
@@ -56,7 +56,7 @@
     assert scenario.caller.body == whole_answer()
 
 
-def test_a_run_is_not_closed_for_an_engine_that_then_rejects(shape):
+def test_an_attempt_stays_open_if_the_standby_is_rejected(shape):
     """The engine of the next path has no room, which only its answer tells."""
     engines = {"a": SHORT_PAUSE, "c": Engine(status=503)}
     scenario = StreamScenario(shape, engines, slack=ONE_RETRY)
@@ -67,7 +67,7 @@
 SLOW_START = Engine(accepts_after=0.3)
 
 
-def test_a_run_is_closed_once_the_next_one_was_accepted(shape):
+def test_an_attempt_is_closed_once_the_standby_was_accepted(shape):
     engines = {"a": Engine(stops_after=5), "c": SLOW_START}
     scenario = StreamScenario(shape, engines)
     first = []
@@ -81,7 +81,7 @@
     assert scenario.caller.body == whole_answer()
 
 
-def test_a_run_that_goes_on_before_the_next_one_was_accepted_is_kept(shape):
+def test_an_attempt_that_resumes_before_the_standby_was_accepted_is_kept(shape):
     engines = {"a": SHORT_PAUSE, "c": SLOW_START}
     scenario = StreamScenario(shape, engines)
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
@@ -89,7 +89,7 @@
     assert scenario.caller.body == whole_answer()
 
 
-def test_an_engine_that_ends_its_run_leaves_the_one_begun_beside_it(shape):
+def test_the_standby_continues_if_the_stalled_attempt_ends(shape):
     engines = {"a": Engine(pause_after=5, pause=0.3, breaks=True), "c": SLOW_START}
     scenario = StreamScenario(shape, engines)
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
@@ -97,7 +97,7 @@
     assert scenario.caller.body == whole_answer()
 
 
-def test_an_engine_that_drops_the_next_run_costs_no_attempt(shape):
+def test_a_stale_connection_of_the_standby_costs_no_attempt(shape):
     engines = {"a": Engine(stops_after=5), "c": Engine(drops=True)}
     scenario = StreamScenario(shape, engines)
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
@@ -105,7 +105,7 @@
     assert scenario.job.sends == 2
 
 
-def test_a_caller_that_leaves_ends_both_runs(shape):
+def test_a_caller_that_leaves_closes_attempt_and_standby(shape):
     scenario = StreamScenario(shape, {"a": Engine(stops_after=5), "c": SLOW_START})
 
     def leave(watcher) -> None:
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("engine", [SLOW_START, Engine(status=503), Engine(drops=True)])
-def test_what_runs_beside_one_another_leaves_no_load(shape, engine):
+def test_attempt_and_standby_leave_no_load(shape, engine):
     scenario = StreamScenario(shape, {"a": SHORT_PAUSE, "c": engine})
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert scenario.beliefs.loads.own == {}
@@ -136,7 +136,7 @@
         return found
 
 
-def test_a_run_gives_way_to_one_that_has_no_room_beside_it(shape):
+def test_an_attempt_is_closed_first_if_the_parts_lack_room_for_both(shape):
     scenario = SingleRunStream(shape, {"a": Engine(stops_after=5), "c": SLOW_START})
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     (_, _, first), (begun_at, _, _) = scenario.runs
@@ -145,7 +145,7 @@
     assert scenario.caller.body == whole_answer()
 
 
-def test_a_send_that_never_left_takes_no_retry(shape):
+def test_a_request_that_was_not_sent_uses_no_retry(shape):
     scenario = UnreachableStream(
         shape,
         {"a": Engine(pause_after=5, breaks=True)},
@@ -156,14 +156,14 @@
     assert len(scenario.budget.retries.get("rooms", ())) == 0
 
 
-def test_waiting_for_a_descriptor_takes_no_repeats(shape):
+def test_waiting_for_a_descriptor_uses_no_further_retries(shape):
     engine = Engine(pause_after=5, breaks=True)
     scenario = StreamScenario(shape, {"a": engine}, descriptor_outage=(0.1, 1.0))
     play(scenario.serve())
     assert len(scenario.budget.retries["rooms"]) == 1
 
 
-def test_waiting_for_a_descriptor_ends_with_the_time_of_the_route(shape):
+def test_waiting_for_a_descriptor_ends_at_the_route_timeout(shape):
     engine = Engine(pause_after=5, breaks=True)
     scenario = StreamScenario(shape, {"a": engine}, descriptor_outage=(0.1, 60.0))
     play(scenario.serve())
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize("status", [422, 500])
-def test_an_engines_own_answer_is_kept_until_another_may_be_asked(shape, status):
+def test_an_engines_error_is_passed_on_if_no_retry_is_left(shape, status):
     scenario = OwnErrorStream(shape, {"a": Engine(status=status)}, slack=NO_RETRIES)
     play(scenario.serve())
     assert scenario.caller.status == status
@@ -222,13 +222,13 @@
         return await super().send(request, sending, fresh, reserved)
 
 
-def test_a_run_that_stood_still_is_not_sent_again_on_the_path_of_a_dead_part(shape):
+def test_a_stalled_stream_is_not_sent_again_over_a_dead_part(shape):
     scenario = LateClosedStream(shape, {"a": Engine()}, room_available_at=1.2)
     play(scenario.serve((0.2, scenario.declare_dead("b"))))
     assert scenario.firsts.count("a") == 1
 
 
-def test_a_run_ended_long_after_it_was_sent_was_no_dropped_connection(shape):
+def test_a_connection_closed_long_after_the_send_counts_as_a_crash(shape):
     """A crash under the request while it waited in the engine for its first token."""
     scenario = LateClosedStream(shape, {"a": Engine()})
     play(scenario.serve())
@@ -236,7 +236,7 @@
     assert scenario.beliefs.crashes.losses(scenario.ended_at)
 
 
-def test_a_run_whose_events_flow_is_not_closed_for_a_part_that_is_said_to_be_dead(
+def test_an_active_stream_stays_on_a_part_that_is_reported_dead(
     shape,
 ):
     """Its events refute it; each such move took an attempt and a retry."""
@@ -245,7 +245,7 @@
     assert scenario.firsts == ["a"]
 
 
-def test_an_answer_whose_events_flow_is_not_lost_to_a_move(shape):
+def test_an_active_stream_is_not_broken_off_by_a_move(shape):
     engines = {"a": Engine(), "c": Engine(status=503)}
     scenario = StreamScenario(shape, engines, slack=ONE_RETRY)
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
@@ -261,7 +261,7 @@
         return await super().reserve(address, fresh)
 
 
-def test_an_engine_that_ends_a_run_while_it_is_moved_is_not_taken_for_crashed(shape):
+def test_an_engine_that_ends_an_attempt_during_a_move_counts_no_crash(shape):
     """It ended what stood still behind a dead part, while a connection was made."""
     engine = Engine(pause_after=5, pause=0.2, breaks=True)
     scenario = SlowConnectStream(shape, {"a": engine})
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -43,7 +43,7 @@
     return make
 
 
-def test_a_run_stays_open_where_no_retry_is_left(stream):
+def test_a_stalled_attempt_stays_open_without_retries_left(stream):
     scenario = stream(SHORT_PAUSE, slack=NO_RETRIES)
     ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
@@ -52,7 +52,7 @@
     assert scenario.firsts == ["a"]
 
 
-def test_a_run_stays_open_where_no_other_path_has_room(stream):
+def test_a_stalled_attempt_stays_open_while_no_other_path_has_room(stream):
     """Room was waited for with the run closed already, until the caller left."""
     scenario = stream(SHORT_PAUSE, room_available_at=100.0)
     ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
@@ -62,14 +62,14 @@
 
 
 @pytest.mark.parametrize("lacks", [{"slack": NO_RETRIES}, {"room_available_at": 100.0}])
-def test_silence_alone_ends_no_run_that_nothing_replaces(stream, lacks):
+def test_silence_does_not_end_an_attempt_without_replacement(stream, lacks):
     scenario = stream(Engine(pause_after=5, pause=1.9), **lacks)
     ended = play(scenario.serve())
     assert ended is None
     assert scenario.caller.body == whole_answer()
 
 
-def test_a_stream_goes_on_elsewhere_as_soon_as_that_is_possible(stream):
+def test_a_stalled_stream_moves_as_soon_as_another_path_has_room(stream):
     scenario = stream(Engine(pause_after=5, pause=30.0), room_available_at=1.0)
     ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
@@ -80,7 +80,7 @@
     assert scenario.runs[0][2].abandoned
 
 
-def test_a_stream_goes_on_once_a_repeat_is_allowed_again(stream):
+def test_a_stalled_stream_moves_once_a_retry_is_allowed(stream):
     scenario = stream(Engine(pause_after=5, pause=30.0), slack=NO_RETRIES)
     ended = play(
         scenario.serve(
@@ -93,7 +93,7 @@
     assert scenario.firsts == ["a", "c"]
 
 
-def test_an_answer_whose_engine_ended_it_waits_for_a_retry(stream):
+def test_a_broken_stream_waits_for_a_retry(stream):
     """It was given up at once, while its caller would have read on for two seconds."""
     scenario = stream(Engine(pause_after=5, breaks=True), slack=NO_RETRIES)
     ended = play(scenario.serve((1.0, scenario.set_slack(UNLIMITED_RETRIES))))
@@ -102,24 +102,24 @@
     assert scenario.firsts == ["a", "c"]
 
 
-def test_a_run_that_goes_on_after_all_is_watched_again(stream):
+def test_a_resumed_attempt_is_watched_again(stream):
     """Taken for dead a second time, it moves, now that a retry is left."""
     scenario = stream(Engine(pause_after=5, pause=0.4, stops_after=8), slack=NO_RETRIES)
-    dies_again = 1.1
+    dead_again_at = 1.1
     ended = play(
         scenario.serve(
             (IN_PAUSE, scenario.declare_dead("b")),
-            (dies_again, scenario.set_slack(UNLIMITED_RETRIES)),
-            (dies_again, scenario.declare_dead("b")),
+            (dead_again_at, scenario.set_slack(UNLIMITED_RETRIES)),
+            (dead_again_at, scenario.declare_dead("b")),
         )
     )
     assert ended is None
     assert scenario.caller.body == whole_answer()
     assert scenario.firsts == ["a", "c"]
-    assert scenario.runs[1][0] < dies_again + 0.1
+    assert scenario.runs[1][0] < dead_again_at + 0.1
 
 
-def test_an_engine_that_ends_a_run_which_stood_still_is_not_taken_for_crashed(stream):
+def test_an_engine_that_ends_a_stalled_attempt_counts_no_crash(stream):
     """It ends what depends on a dead part; the request would be refused for good."""
     scenario = stream(
         Engine(pause_after=5, pause=1.0, breaks=True), room_available_at=IN_PAUSE + 1.5
@@ -130,7 +130,7 @@
     assert scenario.beliefs.crashes.losses(scenario.ended_at) == {}
 
 
-def test_a_request_that_no_engine_ran_is_refused_as_such(stream):
+def test_a_request_that_no_engine_ran_is_refused_as_not_run(stream):
     """Its caller was told that it may have run, and not when to come back."""
     scenario = stream(Engine(status=503), slack=NO_RETRIES)
     ended = play(scenario.serve())
@@ -139,7 +139,7 @@
     assert ended.retry_after is not None
 
 
-def test_a_request_that_lacks_only_a_retry_comes_back_at_once(stream):
+def test_a_request_denied_a_retry_is_refused_at_once(stream):
     """It was held for half of its objective, and then told to come back after seconds.
 
     An engine that had to leave rejected it, and the budget of retries was used up. Its
@@ -162,7 +162,7 @@
     assert scenario.caller.body == whole_answer()
 
 
-def test_a_request_without_room_comes_back_after_usual_answers(stream):
+def test_retry_after_for_lack_of_room_follows_the_usual_answer_time(stream):
     """Callers were asked back after 5 to 14 s where half of the answers took 2 s.
 
     The time was that of the longest of twenty answers, in place of the usual one by
@@ -182,7 +182,7 @@
 @pytest.mark.parametrize(
     "retry_safety", [RetrySafety.RESUMABLE_STREAM, RetrySafety.STREAM]
 )
-def test_a_dropped_connection_takes_no_attempt_and_no_retry(stream, retry_safety):
+def test_a_stale_connection_costs_no_attempt_and_no_retry(stream, retry_safety):
     """Streams were given up, within milliseconds, though their engines lived."""
     scenario = stream(
         Engine(drops=True), slack=NO_RETRIES, attempts=1, retry_safety=retry_safety
@@ -192,7 +192,7 @@
     assert scenario.beliefs.crashes.losses(scenario.ended_at) == {}
 
 
-def test_an_answer_waits_for_a_file_descriptor(stream):
+def test_a_broken_stream_waits_for_a_file_descriptor(stream):
     """It was broken off by the error that the lack of one raised."""
     scenario = stream(Engine(pause_after=5, breaks=True), descriptor_outage=(0.1, 1.0))
     assert play(scenario.serve()) is None
@@ -207,7 +207,7 @@
     assert scenario.beliefs.suspects.excluded(scenario.ended_at) == set()
 
 
-def test_a_defect_stops_what_an_endpoint_does_for_a_stream(stream):
+def test_an_exception_aborts_the_exchange_with_the_endpoint(stream):
     """The endpoint works on for a caller whose answer has been ended."""
     scenario = stream(Engine())
 
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize("resume_after", ["", str(EVENT_COUNT)])
-def test_an_answer_has_no_length_of_one_run(stream, resume_after):
+def test_a_stream_response_has_no_content_length(stream, resume_after):
     """An answer without new events was promised a body, and broken off as a defect."""
     scenario = stream(Engine(), resume_after=resume_after)
     assert play(scenario.serve()) is None
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -23,9 +23,9 @@
 from .network import Clock
 
 #: Turns of the loop in which all questions are put and answered.
-TURNS = 20
+LOOP_TURNS = 20
 #: Start of the endpoints that the watcher knows.
-BORN = 1_000
+STARTED_MS = 1_000
 
 
 def path_of(*names: str) -> Path:
@@ -82,7 +82,7 @@
             Clock(),
             log,
             on_suspect,
-            lambda name, born: born > BORN,
+            lambda name, born: born > STARTED_MS,
         )
 
     return make
@@ -94,7 +94,7 @@
     return []
 
 
-def watched_until(watcher, job, now):
+def check_after_silence(watcher, job, now):
     """Watch a stream that is silent from 0 until a time, and look."""
     if isinstance(watcher.clock, Clock):
         watcher.clock.now = now
@@ -103,16 +103,16 @@
         watcher.begin(job, 0.0)
         watcher.progress(job, 0.0)
         watcher.check(now)
-        for _ in range(TURNS):
+        for _ in range(LOOP_TURNS):
             await asyncio.sleep(0)
 
     asyncio.run(run())
 
 
-def test_a_stream_behind_an_endpoint_that_is_named_goes_on_elsewhere(make_watcher):
+def test_a_stream_moves_off_an_endpoint_that_a_report_names(make_watcher):
     watcher = make_watcher(EngineReport((StalledRequest("r", "b:1"),)))
     job = make_job(path_of("a", "b"))
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert isinstance(job.current.arrivals.get_nowait(), Stalled)
     assert job.avoid == {"b"}
     assert watcher.suspects.excluded(0.1) == {"b"}
@@ -121,21 +121,21 @@
 def test_a_stream_on_a_busy_path_stays(make_watcher):
     watcher = make_watcher(EngineReport())
     job = make_job(path_of("a", "b"))
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert watcher.reports.probed == ["a:1", "b:1"]
     assert job.current.arrivals.empty()
     assert watcher.suspects.excluded(0.1) == set()
 
 
-def test_a_first_endpoint_without_report_is_left_out(make_watcher):
+def test_a_first_endpoint_that_does_not_respond_is_avoided(make_watcher):
     watcher = make_watcher(None)
     watcher.reports = OneDead("a:1")
     job = make_job(path_of("a", "b"))
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert job.avoid == {"a"}
 
 
-def test_nobody_is_taken_for_dead_while_nobody_answers(make_watcher, events):
+def test_no_endpoint_is_declared_dead_while_none_responds(make_watcher, events):
     """Answers were cut off while an entry's link was full.
 
     A version of the configuration filled the link of a small entry for a tenth of a
@@ -146,34 +146,34 @@
     """
     watcher = make_watcher(Unavailable("timed out"))
     job = make_job(path_of("a", "b"))
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert {"a:1", "b:1"} <= set(watcher.reports.probed)
     assert watcher.suspects.excluded(0.2) == set()
     assert job.current.arrivals.empty()
     assert set(events) == {"not_suspected"}
 
 
-def test_an_answer_to_a_later_question_says_nothing_of_an_earlier_one(make_watcher):
+def test_a_response_to_a_later_probe_does_not_count_for_an_earlier_one(make_watcher):
     """The link was free again when the other endpoint was asked."""
     watcher = make_watcher(Unavailable("timed out"))
     job = make_job(path_of("a"))
     later = 0.2 + SECOND_PROBE_DELAY + 2 * CONCURRENT_PROBE_WINDOW
     watcher.answered_probe_at["c:1"] = later
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert watcher.reports.probed == ["a:1"] * 3
     assert watcher.suspects.excluded(0.2) == {"a"}
 
 
-def test_an_endpoint_asked_alone_is_compared_with_another_one(make_watcher):
+def test_an_endpoint_probed_alone_is_compared_with_a_control(make_watcher):
     watcher = make_watcher(None, unused="c:1")
     watcher.reports = OneDead("a:1")
     job = make_job(path_of("a"))
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert watcher.reports.probed == ["a:1", "a:1", "a:1", "c:1"]
     assert watcher.suspects.excluded(0.2) == {"a"}
 
 
-def test_a_stream_stays_that_is_silent_behind_another_part_than_the_known_one(
+def test_a_stream_stays_if_its_silence_is_not_due_to_the_dead_part(
     make_watcher,
 ):
     """A peer had taken an endpoint for dead through which other streams passed."""
@@ -192,11 +192,11 @@
     assert silent.current.arrivals.empty()
 
 
-def test_a_silent_stream_moves_at_once_when_a_peer_told_the_cause(make_watcher):
+def test_a_silent_stream_moves_at_once_when_a_peer_reported_the_cause(make_watcher):
     watcher = make_watcher(EngineReport())
     watcher.suspects.from_peer("b", 2.0, now=0.0, silent=True)
     job = make_job(path_of("a", "b"))
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert watcher.reports.probed == []
     assert job.avoid == {"b"}
 
@@ -204,7 +204,7 @@
 def test_a_stream_that_may_not_move_is_left_alone(make_watcher):
     watcher = make_watcher(EngineReport((StalledRequest("r", "b:1"),)))
     job = make_job(path_of("a", "b"), may_move=False)
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert job.current.arrivals.empty()
 
 
@@ -247,32 +247,32 @@
     return jobs[:2]
 
 
-def test_streams_behind_an_endpoint_without_answer_move_on_an_idle_fleet(make_watcher):
+def test_streams_move_early_on_an_idle_fleet(make_watcher):
     first, second = silence_two_streams(make_watcher(EngineReport(), idle=True))
     assert (first.avoid, second.avoid) == ({"x"}, {"x"})
     assert isinstance(first.current.arrivals.get_nowait(), Stalled)
 
 
-def test_streams_behind_an_endpoint_without_answer_stay_on_a_busy_fleet(make_watcher):
+def test_streams_do_not_move_early_on_a_busy_fleet(make_watcher):
     jobs = silence_two_streams(make_watcher(EngineReport(), idle=False))
     assert all(job.current.arrivals.empty() for job in jobs)
 
 
-def test_streams_through_an_incarnation_that_ended_go_on_elsewhere(make_watcher):
-    watcher = make_watcher(EngineReport(born=BORN + 1))
+def test_streams_move_off_a_restarted_endpoint(make_watcher):
+    watcher = make_watcher(EngineReport(born=STARTED_MS + 1))
     job = make_job(path_of("a", "b"))
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert isinstance(job.current.arrivals.get_nowait(), Stalled)
     assert job.avoid == {"a"}
     assert watcher.suspects.excluded(0.1) == set()
 
 
-def test_an_endpoint_whose_report_cannot_be_read_is_not_taken_for_dead(
+def test_an_endpoint_whose_report_cannot_be_read_is_not_declared_dead(
     make_watcher, events
 ):
     watcher = make_watcher(Undecodable("no JSON"))
     job = make_job(path_of("a", "b"))
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert job.current.arrivals.empty()
     assert watcher.suspects.excluded(0.1) == set()
     assert events == ["report_unreadable"] * 2
@@ -291,17 +291,17 @@
         return Unavailable("refused") if address == self.dead else EngineReport()
 
 
-def test_a_dead_part_in_the_middle_of_a_path_is_found_by_asking_it(make_watcher):
+def test_a_dead_part_in_the_middle_of_a_path_is_found_by_probing_it(make_watcher):
     watcher = make_watcher(None)
     watcher.reports = OneDead("b:1")
     job = make_job(path_of("a", "b", "c"))
-    watched_until(watcher, job, 0.13)
+    check_after_silence(watcher, job, 0.13)
     assert isinstance(job.current.arrivals.get_nowait(), Stalled)
     assert job.avoid == {"b"}
     assert watcher.suspects.excluded(0.2) == {"b"}
 
 
-def test_an_endpoint_that_answers_the_second_question_lives(make_watcher):
+def test_an_endpoint_that_answers_the_second_probe_is_alive(make_watcher):
     watcher = make_watcher(None)
     answers = [Unavailable("reset"), EngineReport()]
 
@@ -310,31 +310,31 @@
 
     watcher.reports = SimpleNamespace(report=report)
     job = make_job(path_of("a"))
-    watched_until(watcher, job, 0.13)
+    check_after_silence(watcher, job, 0.13)
     assert answers == []
     assert job.current.arrivals.empty()
     assert watcher.suspects.excluded(0.2) == set()
 
 
-def test_nobody_is_taken_for_dead_by_a_process_that_stood_still(make_watcher):
+def test_no_endpoint_is_declared_dead_after_the_event_loop_was_held_up(make_watcher):
     watcher = make_watcher(Unavailable("timed out"))
     times = iter([0.0, 5.0])
     watcher.clock = lambda: next(times)
     job = make_job(path_of("a"))
-    watched_until(watcher, job, 0.13)
+    check_after_silence(watcher, job, 0.13)
     assert job.current.arrivals.empty()
     assert watcher.suspects.excluded(0.2) == set()
 
 
-def test_what_an_endpoint_says_of_its_pace_is_kept(make_watcher):
+def test_the_pace_that_an_endpoint_reports_is_recorded(make_watcher):
     watcher = make_watcher(EngineReport(pace=5.0))
     job = make_job(path_of("a"))
-    watched_until(watcher, job, 0.13)
+    check_after_silence(watcher, job, 0.13)
     assert watcher.speeds.of("a", 0.1) == 5.0
     assert job.current.arrivals.empty()
 
 
-def test_a_slow_endpoint_is_asked_again_while_streams_use_it(make_watcher):
+def test_a_slow_endpoint_is_probed_again_while_streams_use_it(make_watcher):
     watcher = make_watcher(EngineReport(pace=5.0))
     watcher.speeds.tell("a", 5.0, now=0.0)
     job = make_job(path_of("a", "b"))
@@ -344,14 +344,14 @@
         watcher.begin(job, later)
         watcher.progress(job, later)
         watcher.check(later)
-        for _ in range(TURNS):
+        for _ in range(LOOP_TURNS):
             await asyncio.sleep(0)
 
     asyncio.run(run())
     assert watcher.reports.probed == ["a:1"]
 
 
-def test_an_endpoint_that_is_left_out_already_is_not_asked(make_watcher):
+def test_an_endpoint_that_is_already_excluded_is_not_probed(make_watcher):
     watcher = make_watcher(EngineReport())
     watcher.suspects.suspect("x", "no report", 0.0, silent=True)
     jobs = [make_job(path_of(n, "x"), may_move=False) for n in "ab"]
@@ -364,21 +364,21 @@
         watcher.begin(heard, 0.19)
         watcher.progress(heard, 0.19)
         watcher.check(0.2)
-        for _ in range(TURNS):
+        for _ in range(LOOP_TURNS):
             await asyncio.sleep(0)
 
     asyncio.run(run())
     assert "x:1" not in watcher.reports.probed
 
 
-def test_an_endpoint_that_only_takes_no_new_work_is_asked_before_streams_move(
+def test_an_endpoint_that_only_takes_no_new_work_is_probed_before_streams_move(
     make_watcher,
 ):
     """Answers were cut off so beside servers that were ordered to move."""
     watcher = make_watcher(EngineReport())
     watcher.suspects.suspect("b", "ordered to move", 0.0)
     job = make_job(path_of("a", "b"))
-    watched_until(watcher, job, 0.2)
+    check_after_silence(watcher, job, 0.2)
     assert watcher.reports.probed == ["a:1", "b:1"]
     assert job.current.arrivals.empty()
     assert job.avoid == set()
--- a/packages/relay/tests/relay/test_streams.py
+++ b/packages/relay/tests/relay/test_streams.py
@@ -168,13 +168,13 @@
     return job
 
 
-def test_an_endpoint_without_memory_is_left_to_other_requests(rejected):
+def test_an_endpoint_without_memory_is_not_excluded_for_others(rejected):
     beliefs, recorder = rejected(status=503, taken=0.9)
     assert beliefs.suspects.excluded(0.0) == set()
     assert recorder.faults == [("b", 0.9)]
 
 
-def test_an_endpoint_that_may_be_full_or_dead_is_asked(rejected):
+def test_an_endpoint_that_may_be_full_or_dead_is_probed(rejected):
     _, recorder = rejected(status=503, taken=0.9)
     assert recorder.probed == ["b"]
 
@@ -184,7 +184,7 @@
     [(503, 0.1), (421, 0.9)],
     ids=["rejects with memory left", "lacks the layers"],
 )
-def test_an_endpoint_that_rejects_every_request_is_left_out(rejected, status, taken):
+def test_an_endpoint_that_rejects_every_request_is_excluded(rejected, status, taken):
     beliefs, recorder = rejected(status, taken)
     assert beliefs.suspects.excluded(0.0) == {"b"}
     assert recorder.probed == []
