--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -1,4 +1,4 @@
-"""Entries that exchange news with one another, without a network."""
+"""Entries that exchange gossip messages in memory, without a network."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 def holder_stub(name: str, book: PeerBook, clock: Clock) -> SimpleNamespace:
-    """Return what stands for the holder of the duty where no test looks at it."""
+    """Return a stub for the duty holder, for tests that do not use it."""
     return SimpleNamespace(lease=None, released=0, hear=lambda *news: None)
 
 
 class Network:
-    """Entries that exchange news in rounds, without delay.
+    """Entries that gossip in rounds, without delay.
 
     Attributes:
-        clock: The clock of all.
-        entries: Entries that are alive, by name.
-        exchanges: Exchanges so far.
-        make_holder: Returns what an entry knows of the holder of the duty.
+        clock: Clock of all entries.
+        entries: Live entries by name.
+        exchanges: Number of exchanges so far.
+        make_holder: Returns an entry's view of the duty holder.
     """
 
     def __init__(self, zones: dict[str, int], make_holder=holder_stub) -> None:
@@ -50,7 +50,7 @@
             entry.book.learn(first, first, 0.0)
 
     def add(self, name: str, zone: str) -> Gossip:
-        """Add an entry that knows nobody."""
+        """Add an entry that knows no other one."""
         follower = SimpleNamespace(
             freshness=Freshness(1.0, 0.1), position=None, reachable=True
         )
@@ -75,7 +75,7 @@
         return self.entries[name]
 
     def exchange(self, initiator: Gossip, other_name: str, zone: str) -> None:
-        """Let one entry speak to another, and that one answer."""
+        """Send a message from one entry to another, and the reply back."""
         other = self.entries.get(other_name)
         if other is None:
             return
@@ -85,7 +85,7 @@
         initiator.take(decode(encode(answer), PeerNews))
 
     def run_rounds(self, count: int) -> None:
-        """Let all entries speak for some rounds."""
+        """Run gossip rounds of all entries."""
         for _ in range(count):
             self.clock.now += PERIOD
             for entry in list(self.entries.values()):
--- a/packages/relay/tests/relay/stream_scenario.py
+++ b/packages/relay/tests/relay/stream_scenario.py
@@ -1,4 +1,4 @@
-"""One stream on its way through the forwarder, with engines that follow a script."""
+"""A stream through the real forwarder, with engines that follow a script."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
 
 from .routes import route_of
 
-#: Events of an answer.
+#: Events of a response.
 EVENT_COUNT = 20
 #: Seconds between two of them.
 EVENT_INTERVAL = 0.05
-#: A budget that allows retries without end, and one that allows none.
+#: Slack of a retry budget that never runs out, and of one that allows no retry.
 UNLIMITED_RETRIES = 10_000.0
 NO_RETRIES = 0.0
 
 
 def event(number: int) -> bytes:
-    """Return one event of an answer."""
+    """Return one event of a response."""
     return b"id: %d\ndata: word %d\n\n" % (number, number)
 
 
@@ -58,17 +58,17 @@
 
 @attrs.define
 class Engine:
-    """What the first engine of a path does with a run.
+    """How the first engine of a path responds to an attempt.
 
     Attributes:
         pause_after: Event after which it pauses, 0 for before the first one, None for
             no pause.
         pause: Seconds of that pause.
-        breaks: Whether it ends the run there.
-        status: Status of its answer.
-        drops: Whether it has dropped the connections that are kept to it.
+        breaks: Whether it breaks off the response after the pause.
+        status: HTTP status of its response.
+        drops: Whether it has closed the pooled connections to it.
         stops_after: Event after which it writes nothing more, None for none.
-        accepts_after: Seconds after which its answer begins.
+        accepts_after: Seconds after which its response begins.
     """
 
     pause_after: int | None = None
@@ -81,7 +81,7 @@
 
 
 class EngineRun:
-    """A run of a stream on an engine; stands for the exchange that carries it."""
+    """An attempt on a scripted engine, in place of the HTTP exchange."""
 
     def __init__(self, engine: Engine, after: int, fresh: bool) -> None:
         self.arrivals: asyncio.Queue = asyncio.Queue()
@@ -128,7 +128,7 @@
 
 
 class CallerStub:
-    """A caller that reads what it is sent, and stays."""
+    """A caller that reads everything and does not leave."""
 
     def __init__(self) -> None:
         self.body = b""
@@ -160,7 +160,7 @@
 
 
 class RecordingLog:
-    """Keeps the events that are logged."""
+    """A decision log that keeps the events logged."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -177,14 +177,14 @@
     """A stream through endpoints a and b; c and d hold the same layers.
 
     Attributes:
-        shape: Figures of the engines.
-        engines: What the first engine of each path does, by its name.
-        slack: Repeats that are allowed.
-        room_from: Time from which the second path has room, seconds.
-        lacks_descriptors: From when until when there are no file descriptors, seconds.
-        retry_safety: What may be repeated.
-        attempts: Endpoints to which the route lets a request be sent.
-        resume_after: Last event that the caller has already, or empty.
+        shape: Performance figures of the engines.
+        engines: Behaviour of the first engine of each path, by its name.
+        slack: Retries that the budget allows.
+        room_available_at: Time from which the second path has room, seconds.
+        descriptor_outage: Start and end of the time without file descriptors, seconds.
+        retry_safety: What may be sent again.
+        attempts: Maximum number of attempts of the route.
+        resume_after: Last event that the caller already has, or empty.
     """
 
     shape: EngineShape
@@ -209,17 +209,18 @@
 
     @property
     def firsts(self) -> list[str]:
-        """First endpoints of the runs, in order."""
+        """First endpoints of the attempts, in order."""
         return [name for _, name, _ in self.runs]
 
     def clock(self) -> float:
         return asyncio.get_running_loop().time()
 
     async def serve(self, *scheduled_calls) -> Refusal | None:
-        """Serve the stream; return how it ended if not whole.
+        """Serve the stream; return the refusal if the response is not complete.
 
         Args:
-            happenings: Pairs of a time and what is called with the watcher then.
+            scheduled_calls: Pairs of a time in seconds and a function that is called
+                with the stall watcher at that time.
         """
         watcher = StallWatcher(
             SimpleNamespace(report=self._report),
@@ -249,11 +250,11 @@
         return ended
 
     def declare_dead(self, *names: str):
-        """Return what tells a watcher that endpoints are dead."""
+        """Return a function that makes a watcher declare endpoints dead."""
         return lambda watcher: watcher._declare_dead(set(names), "no report")
 
     def set_slack(self, slack: float):
-        """Return what changes the retries that are allowed."""
+        """Return a function that changes the retries that the budget allows."""
 
         def change(watcher) -> None:
             self.budget.slack = slack
@@ -293,7 +294,7 @@
 
     @property
     def codec(self):
-        """What reads heads; an answer without success is a rejection."""
+        """A codec for which every response without success is a rejection."""
         headers = {"Content-Length": str(len(whole_answer()))}
         return SimpleNamespace(
             head=self._head, for_caller=lambda head: HTTPHeaders(headers)
@@ -312,7 +313,7 @@
     async def send(self, job, sending, fresh, reserved=None) -> EngineRun | NotSent:
         return await Sender.send(self, job, sending, fresh, reserved)
 
-    #: What a send needs is decided as it really is.
+    #: The checks of a send are those of the real sender.
     release_holds = Sender.release_holds
     _claim_send = Sender._claim_send
 
@@ -328,9 +329,9 @@
         return run
 
     def release(self, exchange, head) -> None:
-        """Keep nothing."""
+        """Return no connection to a pool."""
 
 
 def whole_answer() -> bytes:
-    """Return what a caller has read of a whole answer."""
+    """Return the body of a complete response."""
     return b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
--- a/packages/relay/tests/relay/test_causes.py
+++ b/packages/relay/tests/relay/test_causes.py
@@ -1,4 +1,4 @@
-"""Tests of why requests came late, on log lines as entries write them."""
+"""Tests of the causes of late requests, with log lines as entries write them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 from lacewingcourse.relay.explain import ExplainCommand
 
-#: A send of a stream and its end, as entries write them.
+#: Log lines of a send of a stream, its end, a loss, and a suspicion.
 SENT = {"time": 9.0, "event": "sent", "process": "edge-1", "request": "r"}
 SERVED = {
     "time": 10.0,
@@ -41,12 +41,12 @@
 
 
 def refused(kind: str) -> dict:
-    """Return the line of a refusal."""
+    """Return the log line of a refusal."""
     return SERVED | {"event": "refused", "kind": kind}
 
 
 def broken_off(kind: str) -> dict:
-    """Return the line of an answer that its entry ended before it was whole."""
+    """Return the log line of a response that its entry broke off."""
     return SERVED | {"event": "broken_off", "kind": kind}
 
 
@@ -119,7 +119,7 @@
 
 
 def test_limits_of_a_route_override_the_defaults():
-    """So one summary holds for routes with different objectives."""
+    """One summary covers routes with different objectives."""
     slow = SERVED | {"first_ms": 700.0, "objective_ms": 800.0, "pause_ms": 300.0}
     (history,) = histories_of([SENT, slow], 500.0, 200.0)
     assert cause_of(history) == "in time"
@@ -136,7 +136,7 @@
 
 
 def test_each_loss_is_compared_with_few_suspicions():
-    """The logs of 70 entries hold thousands of both; reading them took minutes."""
+    """The logs of 70 entries hold thousands of both; a linear search took minutes."""
 
     class Times(list):
         looks = 0
--- a/packages/relay/tests/relay/test_concurrent_retries.py
+++ b/packages/relay/tests/relay/test_concurrent_retries.py
@@ -1,4 +1,4 @@
-"""Tests of many requests that are to be sent again at one moment."""
+"""Tests of many requests that are to be sent again at the same time."""
 
 from __future__ import annotations
 
@@ -26,32 +26,32 @@
 from .test_calls import QUICK, REJECTED, CallPlay
 from .virtual_time import play
 
-#: Requests of an endpoint, and the retries that are left when it is lost.
+#: Requests on an endpoint, and retries left in the budget when it is lost.
 REQUESTS = 12
 RETRIES_LEFT = 4
-#: Those of them that are kept for requests which cannot be refused truly.
+#: Retries of these that are reserved for requests that cannot be refused as not run.
 RESERVED = 1
-#: Seconds that a connection takes.
+#: Seconds that it takes to make a connection.
 CONNECT_SECONDS = 0.005
-#: When an endpoint is taken for dead, seconds.
+#: Time at which an endpoint is declared dead, seconds.
 DEAD_AT = 0.4
-#: When a run breaks, and when one goes on after its pause, seconds.
+#: Time at which an attempt breaks off, and one resumes after its pause, seconds.
 BREAKS_AT = CONNECT_SECONDS + 5 * EVENT_INTERVAL
 RESUMES_AT = BREAKS_AT + 0.4 + EVENT_INTERVAL
-#: Engines whose run breaks, and stands still for a moment, after an event.
+#: Engine that breaks off after an event, and one that pauses for a moment.
 BREAKS = Engine(pause_after=5, breaks=True)
 PAUSES = Engine(pause_after=5, pause=0.4)
-#: One that stands still until all the others have looked for a path.
+#: Engine that pauses until all other streams have searched for a path.
 PAUSES_LONG = Engine(pause_after=5, pause=1.0)
 
 
 @attrs.define(slots=False)
 class SlowConnectStream(StreamScenario):
-    """A stream whose connections take a while.
+    """A stream whose connections take a while to be made.
 
     Attributes:
-        unreachable: Whether its second path cannot be reached.
-        single_run: Whether endpoints have no room for two of its runs.
+        unreachable: Whether no connection to its second path can be made.
+        single_run: Whether endpoints have no room for two of its attempts.
     """
 
     unreachable: bool = False
@@ -71,7 +71,7 @@
 
 @attrs.define(slots=False)
 class SlowConnectCall(CallPlay):
-    """A call whose connections take a while."""
+    """A call whose connections take a while to be made."""
 
     async def reserve(self, address, fresh):
         await asyncio.sleep(CONNECT_SECONDS)
@@ -80,13 +80,13 @@
 
 @pytest.fixture
 def budget() -> RetryBudget:
-    """Return a budget with some retries left, whatever comes."""
+    """Return a budget with a fixed number of retries left."""
     return RetryBudget(0.0, 100.0, (RETRIES_LEFT + 0.01) / SAFETY_SHARE)
 
 
 @pytest.fixture
 def streams(shape, budget):
-    """Return a function that makes streams which share a budget."""
+    """Return a function that makes streams that share a retry budget."""
 
     def make(engine, count=REQUESTS, second=None, **options) -> list[SlowConnectStream]:
         engines = {"a": engine, "c": second or Engine()}
@@ -108,7 +108,7 @@
 
 
 def retries_of(streams) -> int:
-    """Return the sends beyond the first of each stream."""
+    """Return the number of sends beyond the first of each stream."""
     return sum(len(scenario.runs) - 1 for scenario in streams)
 
 
@@ -217,7 +217,10 @@
 
 @pytest.fixture
 def loan():
-    """Return a function that makes a budget of a loan which ends at some time."""
+    """Return a function that makes a budget with one borrowed retry per service.
+
+    The function takes the time at which the borrowed retries expire.
+    """
 
     def make(until: float) -> RetryBudget:
         loan_budget = RetryBudget(0.0, 100.0, 0.0)
--- a/packages/relay/tests/relay/test_explain.py
+++ b/packages/relay/tests/relay/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of the story of one request."""
+"""Tests of the timeline of one request."""
 
 from __future__ import annotations
 
--- a/packages/relay/tests/relay/test_failover_safety.py
+++ b/packages/relay/tests/relay/test_failover_safety.py
@@ -1,7 +1,7 @@
-"""Tests of what is given up only once what replaces it is secured.
+"""Tests that nothing is given up before its replacement is certain.
 
-Answers were cut off, or runs that were well closed, because something was released,
-charged or believed before the step that it was for had been taken.
+Guards against responses that break off, and healthy attempts that are closed, because
+an attempt was closed, a retry charged or an endpoint declared dead too early.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 
 SHORT_PAUSE = Engine(pause_after=5, pause=0.4)
 IN_PAUSE = 0.4
-#: A budget without a share of requests that allows exactly one retry (0.7 * 2 >= 1).
+#: Slack of a budget that allows exactly one retry (0.7 * 2 >= 1).
 ONE_RETRY = 2.0
 
 
 @attrs.define(slots=False)
 class UnreachableStream(StreamScenario):
-    """Connections to some first parts cannot be made; each try takes 0.35 s."""
+    """A stream whose connections to some first parts fail after 0.35 s each."""
 
     gone: tuple[str, ...] = ()
 
@@ -57,7 +57,7 @@
 
 
 def test_an_attempt_stays_open_if_the_standby_is_rejected(shape):
-    """The engine of the next path has no room, which only its answer tells."""
+    """The next path has no room, which is known only from its engine's response."""
     engines = {"a": SHORT_PAUSE, "c": Engine(status=503)}
     scenario = StreamScenario(shape, engines, slack=ONE_RETRY)
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
@@ -127,7 +127,7 @@
 
 @attrs.define(slots=False)
 class SingleRunStream(StreamScenario):
-    """Endpoints whose memory holds one run of the stream."""
+    """A stream of which the endpoints have memory for one attempt only."""
 
     def _find(self, job, shape, demand, besides=()):
         found = super()._find(job, shape, demand, besides)
@@ -183,7 +183,7 @@
 
 @attrs.define(slots=False)
 class OwnErrorStream(StreamScenario):
-    """Engines whose answers without success are their own, signed ones."""
+    """A stream whose engines' error responses are their own, not rejections."""
 
     def _head(self, status, headers, request) -> AnswerHead:
         return AnswerHead(status, headers, Standing.ANSWERED)
@@ -197,7 +197,7 @@
 
 
 class LateClosedRun(EngineRun):
-    """A run over a kept connection that the engine ends late, before its head."""
+    """An attempt over a pooled connection that closes late, before a response head."""
 
     def __init__(self, after: int, held: float) -> None:
         self.held = held
@@ -211,7 +211,7 @@
 
 @attrs.define(slots=False)
 class LateClosedStream(StreamScenario):
-    """The first run stands still behind b and is ended without a head after a while."""
+    """The first attempt stalls behind b and ends after a while without a head."""
 
     async def send(self, request, sending, fresh, reserved=None):
         name = sending.path.first.endpoint
@@ -229,7 +229,7 @@
 
 
 def test_a_connection_closed_long_after_the_send_counts_as_a_crash(shape):
-    """A crash under the request while it waited in the engine for its first token."""
+    """The engine crashed while the request waited in it for its first token."""
     scenario = LateClosedStream(shape, {"a": Engine()})
     play(scenario.serve())
     assert scenario.firsts == ["a", "c"]
@@ -239,7 +239,7 @@
 def test_an_active_stream_stays_on_a_part_that_is_reported_dead(
     shape,
 ):
-    """Its events refute it; each such move took an attempt and a retry."""
+    """Its events refute the report; each such move cost an attempt and a retry."""
     scenario = StreamScenario(shape, {"a": Engine()})
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert scenario.firsts == ["a"]
@@ -254,7 +254,7 @@
 
 @attrs.define(slots=False)
 class SlowConnectStream(StreamScenario):
-    """Connections take a while to be made."""
+    """A stream whose connections take a while to be made."""
 
     async def reserve(self, address, fresh):
         await asyncio.sleep(0.2)
@@ -262,7 +262,7 @@
 
 
 def test_an_engine_that_ends_an_attempt_during_a_move_counts_no_crash(shape):
-    """It ended what stood still behind a dead part, while a connection was made."""
+    """It ended a stream that stalled behind a dead part while a connection was made."""
     engine = Engine(pause_after=5, pause=0.2, breaks=True)
     scenario = SlowConnectStream(shape, {"a": engine})
     play(scenario.serve((0.55, scenario.declare_dead("b"))))
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -1,12 +1,11 @@
-"""Tests of streams that are to go on on another path.
-
-Callers saw answers closed in the middle, many at once, while the fleet was overloaded.
-An endpoint on the path of running streams was taken for dead. The entry closed each
-run first and asked only then whether a retry was allowed and whether another path had
-room; where not, it broke the answer off, although the run was still open and its
-engine might have gone on. In the record of such an answer the run and the answer ended
-within 4 ms and no second send was made: no wait fits between them, so the budget of
-retries, the one question without a wait, had said no.
+"""Tests of streams that are to move to another path.
+
+Guards against many responses broken off at once while the fleet is overloaded. An
+endpoint that running streams used was declared dead. The entry closed each attempt
+before it checked whether a retry was allowed and whether another path had room. Where
+not, it broke off the response although the engine might have resumed. In the logs the
+attempt and the response ended within 4 ms and no second send was made: the retry
+budget, the only check that does not wait, had denied the retry.
 """
 
 from __future__ import annotations
@@ -27,15 +26,15 @@
 )
 from .virtual_time import play
 
-#: An engine that stands still for a moment after its fifth event.
+#: An engine that pauses for a moment after its fifth event.
 SHORT_PAUSE = Engine(pause_after=5, pause=0.4)
-#: When an endpoint on the path is taken for dead, within that pause.
+#: Time at which an endpoint on the path is declared dead, within that pause, seconds.
 IN_PAUSE = 0.4
 
 
 @pytest.fixture
 def stream(shape):
-    """Return a function that makes a play of one stream."""
+    """Return a function that makes a scenario of one stream."""
 
     def make(engine, **options) -> StreamScenario:
         return StreamScenario(shape, {"a": engine}, **options)
@@ -53,7 +52,7 @@
 
 
 def test_a_stalled_attempt_stays_open_while_no_other_path_has_room(stream):
-    """Room was waited for with the run closed already, until the caller left."""
+    """The entry closed the attempt and then waited for room until the caller left."""
     scenario = stream(SHORT_PAUSE, room_available_at=100.0)
     ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
@@ -94,7 +93,7 @@
 
 
 def test_a_broken_stream_waits_for_a_retry(stream):
-    """It was given up at once, while its caller would have read on for two seconds."""
+    """It was given up at once, although its caller would have waited two seconds."""
     scenario = stream(Engine(pause_after=5, breaks=True), slack=NO_RETRIES)
     ended = play(scenario.serve((1.0, scenario.set_slack(UNLIMITED_RETRIES))))
     assert ended is None
@@ -103,7 +102,7 @@
 
 
 def test_a_resumed_attempt_is_watched_again(stream):
-    """Taken for dead a second time, it moves, now that a retry is left."""
+    """Its endpoint is declared dead again, and it moves, as a retry is left now."""
     scenario = stream(Engine(pause_after=5, pause=0.4, stops_after=8), slack=NO_RETRIES)
     dead_again_at = 1.1
     ended = play(
@@ -120,7 +119,9 @@
 
 
 def test_an_engine_that_ends_a_stalled_attempt_counts_no_crash(stream):
-    """It ends what depends on a dead part; the request would be refused for good."""
+    """It ends streams that depend on a dead part. Counted as a crash, the request would
+    be refused for good.
+    """
     scenario = stream(
         Engine(pause_after=5, pause=1.0, breaks=True), room_available_at=IN_PAUSE + 1.5
     )
@@ -131,7 +132,7 @@
 
 
 def test_a_request_that_no_engine_ran_is_refused_as_not_run(stream):
-    """Its caller was told that it may have run, and not when to come back."""
+    """Its caller was told that it may have run, and got no Retry-After."""
     scenario = stream(Engine(status=503), slack=NO_RETRIES)
     ended = play(scenario.serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
@@ -140,12 +141,12 @@
 
 
 def test_a_request_denied_a_retry_is_refused_at_once(stream):
-    """It was held for half of its objective, and then told to come back after seconds.
+    """It was held for half of its objective and then got a Retry-After of seconds.
 
-    An engine that had to leave rejected it, and the budget of retries was used up. Its
-    caller's new request is a first send and needs no retry: back after a tenth of a
-    second it is in time, but it was asked back when one to two and a half answers had
-    passed, and was late whatever it met.
+    An engine that was shutting down rejected it, and the retry budget was used up. A
+    new request of the caller is a first send and needs no retry, so it is in time if it
+    comes after a tenth of a second. The Retry-After was one to two and a half times the
+    usual answer time, so the new request was late in any case.
     """
     scenario = stream(Engine(status=503), slack=NO_RETRIES)
     ended = play(scenario.serve())
@@ -155,7 +156,7 @@
 
 
 def test_a_request_that_may_have_run_waits_for_a_retry(stream):
-    """Its caller cannot be told that it has not run, and would not ask again."""
+    """Its caller cannot be told that it has not run, and so would not send it again."""
     scenario = stream(Engine(breaks=True, pause_after=0), slack=NO_RETRIES)
     play(scenario.serve((0.1, scenario.set_slack(UNLIMITED_RETRIES))))
     assert scenario.firsts == ["a", "c"]
@@ -163,11 +164,11 @@
 
 
 def test_retry_after_for_lack_of_room_follows_the_usual_answer_time(stream):
-    """Callers were asked back after 5 to 14 s where half of the answers took 2 s.
+    """Retry-After was 5 to 14 s where half of the responses took 2 s.
 
-    The time was that of the longest of twenty answers, in place of the usual one by
-    which it was chosen how many of them pass until a caller comes back. Room was there
-    after two seconds, and callers were late whatever they met.
+    It was a multiple of the longest of twenty answer times, although the factor was
+    chosen for the usual one. Room was available after two seconds, so callers were late
+    in any case.
     """
     scenario = stream(Engine())
     for seconds in (2.0,) * 20 + (6.0,) * 2:
@@ -183,7 +184,7 @@
     "retry_safety", [RetrySafety.RESUMABLE_STREAM, RetrySafety.STREAM]
 )
 def test_a_stale_connection_costs_no_attempt_and_no_retry(stream, retry_safety):
-    """Streams were given up, within milliseconds, though their engines lived."""
+    """Streams were given up within milliseconds although their engines were alive."""
     scenario = stream(
         Engine(drops=True), slack=NO_RETRIES, attempts=1, retry_safety=retry_safety
     )
@@ -193,7 +194,7 @@
 
 
 def test_a_broken_stream_waits_for_a_file_descriptor(stream):
-    """It was broken off by the error that the lack of one raised."""
+    """It was broken off by the exception that the lack of a descriptor raised."""
     scenario = stream(Engine(pause_after=5, breaks=True), descriptor_outage=(0.1, 1.0))
     assert play(scenario.serve()) is None
     assert scenario.caller.body == whole_answer()
@@ -208,7 +209,7 @@
 
 
 def test_an_exception_aborts_the_exchange_with_the_endpoint(stream):
-    """The endpoint works on for a caller whose answer has been ended."""
+    """Otherwise the endpoint works on for a caller whose response has ended."""
     scenario = stream(Engine())
 
     def fails(status, headers, request):
@@ -222,7 +223,10 @@
 
 @pytest.mark.parametrize("resume_after", ["", str(EVENT_COUNT)])
 def test_a_stream_response_has_no_content_length(stream, resume_after):
-    """An answer without new events was promised a body, and broken off as a defect."""
+    """A response without new events had a Content-Length of one and was broken off.
+
+    The length was that of a whole response, but no event was left to be sent.
+    """
     scenario = stream(Engine(), resume_after=resume_after)
     assert play(scenario.serve()) is None
     assert scenario.caller.whole
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -1,4 +1,4 @@
-"""Tests of streams that are sent on elsewhere."""
+"""Tests of the detection of stalled streams and dead endpoints."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 from .network import Clock
 
-#: Turns of the loop in which all questions are put and answered.
+#: Iterations of the event loop in which all probes are sent and answered.
 LOOP_TURNS = 20
-#: Start of the endpoints that the watcher knows.
+#: Start time of the endpoints that the watcher knows, Unix milliseconds.
 STARTED_MS = 1_000
 
 
@@ -35,7 +35,7 @@
 
 
 class Reports:
-    """Reports that a test sets."""
+    """Returns the same report for every endpoint, and records probes."""
 
     def __init__(self, found) -> None:
         self.found = found
@@ -47,7 +47,7 @@
 
 
 def make_job(path: Path, may_move: bool = True):
-    """Return what the watcher needs of a request."""
+    """Return a request with the attributes that the watcher uses."""
     current = SimpleNamespace(arrivals=asyncio.Queue())
     return SimpleNamespace(
         path=path,
@@ -61,7 +61,7 @@
 
 @pytest.fixture
 def make_watcher(events):
-    """Return a function that makes a watcher which notes what it suspects."""
+    """Return a function that makes a watcher that records its suspicions."""
 
     def make(found, idle=False, unused=None):
         suspects = Suspects()
@@ -95,7 +95,7 @@
 
 
 def check_after_silence(watcher, job, now):
-    """Watch a stream that is silent from 0 until a time, and look."""
+    """Watch a stream that is silent from 0 until a time, and run one check then."""
     if isinstance(watcher.clock, Clock):
         watcher.clock.now = now
 
@@ -136,13 +136,13 @@
 
 
 def test_no_endpoint_is_declared_dead_while_none_responds(make_watcher, events):
-    """Answers were cut off while an entry's link was full.
+    """Guards against moving all streams while an entry's network link is saturated.
 
-    A version of the configuration filled the link of a small entry for a tenth of a
-    second. Events and answers to questions came behind it, so the entry took every
-    endpoint that it asked for dead, told the others, and sent all streams elsewhere
-    until no repeat was left. Nearly all of these endpoints lived: runs passed through
-    them before and after, and hardly any was found dead at other times.
+    A configuration version filled the link of a small entry for a tenth of a second.
+    Events and responses to probes were queued behind it, so the entry declared every
+    endpoint that it probed dead, told the other entries, and moved all streams until no
+    retry was left. Responses were broken off although nearly all of these endpoints
+    were alive.
     """
     watcher = make_watcher(Unavailable("timed out"))
     job = make_job(path_of("a", "b"))
@@ -154,7 +154,7 @@
 
 
 def test_a_response_to_a_later_probe_does_not_count_for_an_earlier_one(make_watcher):
-    """The link was free again when the other endpoint was asked."""
+    """The link was free again when the other endpoint was probed."""
     watcher = make_watcher(Unavailable("timed out"))
     job = make_job(path_of("a"))
     later = 0.2 + SECOND_PROBE_DELAY + 2 * CONCURRENT_PROBE_WINDOW
@@ -176,7 +176,7 @@
 def test_a_stream_stays_if_its_silence_is_not_due_to_the_dead_part(
     make_watcher,
 ):
-    """A peer had taken an endpoint for dead through which other streams passed."""
+    """A peer reported an endpoint as dead that other streams still use."""
     watcher = make_watcher(EngineReport())
     watcher.suspects.from_peer("b", 2.0, now=0.0, silent=True)
     silent, heard = make_job(path_of("a", "b")), make_job(path_of("c", "b"))
@@ -209,7 +209,7 @@
 
 
 class OneSilent:
-    """Reports of endpoints of which one never answers, and the others do at once."""
+    """One endpoint never responds to a probe, and all others do at once."""
 
     def __init__(self, dead: str) -> None:
         self.dead = dead
@@ -225,7 +225,7 @@
 def silence_two_streams(watcher):
     """Let two of three streams fall silent for 0.2 seconds; return their requests.
 
-    The endpoint on both their paths leaves the first question without an answer.
+    The endpoint on both their paths does not respond to the first probe.
     """
     watcher.reports = OneSilent("x:1")
     paths = [path_of("a", "x"), path_of("b", "x"), path_of("c")]
@@ -279,7 +279,7 @@
 
 
 class OneDead:
-    """Reports of endpoints of which one does not answer."""
+    """One endpoint is unavailable to probes, and all others respond."""
 
     def __init__(self, dead: str) -> None:
         self.dead = dead
@@ -374,7 +374,7 @@
 def test_an_endpoint_that_only_takes_no_new_work_is_probed_before_streams_move(
     make_watcher,
 ):
-    """Answers were cut off so beside servers that were ordered to move."""
+    """Responses were broken off when a server on their path was ordered to move."""
     watcher = make_watcher(EngineReport())
     watcher.suspects.suspect("b", "ordered to move", 0.0)
     job = make_job(path_of("a", "b"))
--- a/packages/relay/tests/relay/test_streams.py
+++ b/packages/relay/tests/relay/test_streams.py
@@ -1,4 +1,4 @@
-"""Tests of what is learned from streams that endpoints reject."""
+"""Tests of which endpoints are excluded or probed after they reject a stream."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     Head,
 )
 
-#: Tokens that a part of one layer has memory for.
+#: Tokens for which a part with one layer has memory.
 ROOM = 50_000
 PATH = Path(
     (Part("a", "a:1", "east", Layers(0, 1)), Part("b", "b:1", "east", Layers(1, 2))),
@@ -47,7 +47,7 @@
 
 
 class Recorder:
-    """Takes any call, and keeps the first arguments of those that a test reads."""
+    """Accepts any call, and records probes and the faults of `lost` log lines."""
 
     def __init__(self) -> None:
         self.probed: list[str] = []
@@ -67,7 +67,7 @@
 def rejected(shape):
     """Return a function that sends a stream which endpoint b rejects.
 
-    It returns what was believed after it and what was told.
+    The function returns the resulting view of the endpoints and the recorder.
     """
 
     def run(status: int, taken: float):
@@ -96,7 +96,7 @@
 
 
 class SinglePathAdmission:
-    """Gives a path once, and none after it."""
+    """Returns a path on the first call, and a refusal on later ones."""
 
     def __init__(self) -> None:
         self.given = False
@@ -109,7 +109,7 @@
 
 
 class RejectingSender:
-    """Sends to an endpoint that rejects."""
+    """Sends to an endpoint that rejects every request."""
 
     def __init__(self, status: int) -> None:
         self.status = status
@@ -134,14 +134,14 @@
         return SimpleNamespace(arrivals=arrivals)
 
     def release(self, exchange, head) -> None:
-        """Drop the connection."""
+        """Return no connection to a pool."""
 
     def release_holds(self, job) -> None:
-        """Hold nothing."""
+        """Do nothing, as no retry or permit is held."""
 
 
 def make_job():
-    """Return what the forwarder needs of a request."""
+    """Return a request with the attributes that the forwarder uses."""
     request = SimpleNamespace(
         resume_after="", answer_hint=None, most_answer=20, prompt=100
     )
