--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -199,13 +199,13 @@
             # attempts, these would use up the route's attempts and the retry budget.
             job.sends -= 1
             self.sender.pool.close_idle(path.first.address)
-            again = await self._send_and_relay(state, fresh=True)
-            if again is None:
+            retried = await self._send_and_relay(state, fresh=True)
+            if retried is None:
                 # The endpoint may have crashed while it ran this request.
                 job.sends += 1
                 self.exclude_unreachable(job, path)
                 return AttemptResult(AttemptEnd.LOST, result.reason, first_lost=True)
-            return again
+            return retried
         finally:
             self.beliefs.loads.end(path, state.demand.tokens)
 
--- a/packages/relay/tests/relay/test_concurrent_retries.py
+++ b/packages/relay/tests/relay/test_concurrent_retries.py
@@ -182,11 +182,11 @@
 def test_streams_that_resume_while_connecting_release_their_retries(
     streams, unreachable
 ):
-    going_on = streams(PAUSES, RETRIES_LEFT, unreachable=unreachable)
+    resuming = streams(PAUSES, RETRIES_LEFT, unreachable=unreachable)
     broken = streams(Engine(pause_after=15, breaks=True), RETRIES_LEFT)
-    just_before = going_on[0].declare_dead("b")
-    serve(going_on + broken, (RESUMES_AT - CONNECT_SECONDS / 2, just_before))
-    assert retries_of(going_on) == 0
+    just_before = resuming[0].declare_dead("b")
+    serve(resuming + broken, (RESUMES_AT - CONNECT_SECONDS / 2, just_before))
+    assert retries_of(resuming) == 0
     assert [scenario.firsts for scenario in broken] == [["a", "c"]] * RETRIES_LEFT
     assert all(scenario.runs[1][0] < 2 * RESUMES_AT for scenario in broken)
 
--- a/packages/relay/tests/relay/test_failover_safety.py
+++ b/packages/relay/tests/relay/test_failover_safety.py
@@ -39,10 +39,10 @@
 class UnreachableStream(StreamScenario):
     """A stream whose connections to some first parts fail after 0.35 s each."""
 
-    gone: tuple[str, ...] = ()
+    unreachable: tuple[str, ...] = ()
 
     async def reserve(self, address, fresh):
-        if address.partition(":")[0] in self.gone:
+        if address.partition(":")[0] in self.unreachable:
             await asyncio.sleep(0.35)
             return NotSent(Unsent.UNREACHABLE)
         return await super().reserve(address, fresh)
@@ -50,7 +50,7 @@
 
 def test_an_attempt_stays_open_if_the_next_path_is_unreachable(shape):
     scenario = UnreachableStream(
-        shape, {"a": SHORT_PAUSE}, slack=ONE_RETRY, gone=("c",)
+        shape, {"a": SHORT_PAUSE}, slack=ONE_RETRY, unreachable=("c",)
     )
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert scenario.caller.body == whole_answer()
@@ -139,9 +139,9 @@
 def test_an_attempt_is_closed_first_if_the_parts_lack_room_for_both(shape):
     scenario = SingleRunStream(shape, {"a": Engine(stops_after=5), "c": SLOW_START})
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
-    (_, _, first), (begun_at, _, _) = scenario.runs
+    (_, _, first), (sent_at, _, _) = scenario.runs
     assert first.abandoned
-    assert begun_at < IN_PAUSE + 0.1
+    assert sent_at < IN_PAUSE + 0.1
     assert scenario.caller.body == whole_answer()
 
 
@@ -150,7 +150,7 @@
         shape,
         {"a": Engine(pause_after=5, breaks=True)},
         slack=UNLIMITED_RETRIES,
-        gone=("c",),
+        unreachable=("c",),
     )
     play(scenario.serve())
     assert len(scenario.budget.retries.get("rooms", ())) == 0
@@ -199,13 +199,13 @@
 class LateClosedRun(EngineRun):
     """An attempt over a pooled connection that closes late, before a response head."""
 
-    def __init__(self, after: int, held: float) -> None:
-        self.held = held
+    def __init__(self, after: int, delay: float) -> None:
+        self.delay = delay
         super().__init__(Engine(), after, False)
         self.was_dropped = True
 
     async def _write(self, engine, after) -> None:
-        await asyncio.sleep(self.held)
+        await asyncio.sleep(self.delay)
         self.arrivals.put_nowait(End(False, "closed"))
 
 
