--- a/packages/relay/src/lacewingcourse/relay/moving.py
+++ b/packages/relay/src/lacewingcourse/relay/moving.py
@@ -55,7 +55,7 @@
         """Exclude the first endpoint of a path, to which no connection was made."""
 
     def record_failure(self, job: Job, path: Path, result: AttemptResult) -> None:
-        """Exclude the endpoints at fault, for this request or for all requests."""
+        """Log a failed attempt, and exclude endpoints for this request or for all."""
 
 
 @attrs.define
--- a/packages/relay/src/lacewingcourse/relay/stream_state.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_state.py
@@ -24,7 +24,7 @@
 
     Attributes:
         WHOLE: The response was relayed to its end.
-        LOST: It ended early, or with a status that allows another attempt.
+        LOST: It ended early, or its response cannot be passed on.
         STALLED: Its events stopped, and the stream continues on another path.
         REJECTED: An endpoint refused it without running it.
         ABANDONED: The caller left.
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -78,7 +78,16 @@
     on_denied: Callable[[str, str], None] = lambda service, request: None
 
     async def serve(self, job: Job, shape: EngineShape) -> Refusal | None:
-        """Forward a stream; return a refusal if its response is not complete."""
+        """Forward a stream to the caller.
+
+        Args:
+            job: The request.
+            shape: Performance figures of the service's engines.
+
+        Returns:
+            A refusal if the response could not be completed, None if it was, or if the
+            caller left.
+        """
         cutter = EventCutter(last_id=job.request.resume_after)
         state = StreamState(job, shape, demand_of(job, shape), cutter)
         try:
@@ -201,7 +210,8 @@
             self.sender.pool.close_idle(path.first.address)
             retried = await self._send_and_relay(state, fresh=True)
             if retried is None:
-                # The endpoint may have crashed while it ran this request.
+                # The endpoint cannot be reached any more. It may have crashed while it
+                # ran this request.
                 job.sends += 1
                 self.exclude_unreachable(job, path)
                 return AttemptResult(AttemptEnd.LOST, result.reason, first_lost=True)
@@ -308,7 +318,7 @@
         return None
 
     def record_failure(self, job: Job, path: Path, result: AttemptResult) -> None:
-        """Exclude the endpoints at fault, for this request or for all requests."""
+        """Log a failed attempt, and exclude endpoints for this request or for all."""
         now = self.sender.clock()
         at_fault = [p for p in path.parts if p.address == result.fault_address]
         filled = None
--- a/packages/relay/tests/relay/test_failover_safety.py
+++ b/packages/relay/tests/relay/test_failover_safety.py
@@ -37,7 +37,11 @@
 
 @attrs.define(slots=False)
 class UnreachableStream(StreamScenario):
-    """A stream whose connections to some first parts fail after 0.35 s each."""
+    """A stream whose connections to some first parts fail after 0.35 s each.
+
+    Attributes:
+        unreachable: Names of these first parts.
+    """
 
     unreachable: tuple[str, ...] = ()
 
@@ -236,9 +240,7 @@
     assert scenario.beliefs.crashes.losses(scenario.ended_at)
 
 
-def test_an_active_stream_stays_on_a_part_that_is_reported_dead(
-    shape,
-):
+def test_an_active_stream_stays_on_a_part_that_is_reported_dead(shape):
     """Its events refute the report; each such move cost an attempt and a retry."""
     scenario = StreamScenario(shape, {"a": Engine()})
     play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -119,8 +119,9 @@
 
 
 def test_an_engine_that_ends_a_stalled_attempt_counts_no_crash(stream):
-    """It ends streams that depend on a dead part. Counted as a crash, the request would
-    be refused for good.
+    """The engine ends streams that depend on a dead part.
+
+    Counted as a crash, this would make the entry refuse the request for good.
     """
     scenario = stream(
         Engine(pause_after=5, pause=1.0, breaks=True), room_available_at=IN_PAUSE + 1.5
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -173,9 +173,7 @@
     assert watcher.suspects.excluded(0.2) == {"a"}
 
 
-def test_a_stream_stays_if_its_silence_is_not_due_to_the_dead_part(
-    make_watcher,
-):
+def test_a_stream_stays_if_its_silence_is_not_due_to_the_dead_part(make_watcher):
     """A peer reported an endpoint as dead that other streams still use."""
     watcher = make_watcher(EngineReport())
     watcher.suspects.from_peer("b", 2.0, now=0.0, silent=True)
