--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -140,9 +140,9 @@
 
     A configuration version filled the link of a small entry for a tenth of a second.
     Events and responses to probes were queued behind it, so the entry declared every
-    endpoint that it probed dead, told the other entries, and moved all streams until no
-    retry was left. Responses were broken off although nearly all of these endpoints
-    were alive.
+    endpoint that it probed dead, reported that to the other entries, and moved all
+    streams until no retry was left. Responses were broken off, although nearly all of
+    these endpoints were alive: streams ran through them before and after.
     """
     watcher = make_watcher(Unavailable("timed out"))
     job = make_job(path_of("a", "b"))
