--- a/packages/relay/src/lacewingcourse/relay/moving.py
+++ b/packages/relay/src/lacewingcourse/relay/moving.py
@@ -1,4 +1,4 @@
-"""What a stream goes on with when its run stands still."""
+"""Search for the next path of a stalled stream, and standby attempts on it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from lacewingcourse.core.errors import ErrorKind, Refusal
 from lacewingcourse.relay.connections import NotSent, Unsent
-from lacewingcourse.relay.stream_state import Replacement, Standby, StreamEnd
+from lacewingcourse.relay.stream_state import AttemptEnd, Replacement, Standby
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -20,18 +20,18 @@
     from lacewingcourse.relay.routing_state import RoutingState
     from lacewingcourse.relay.sending import Sender
     from lacewingcourse.relay.stall_watcher import StallWatcher
-    from lacewingcourse.relay.stream_state import RunResult, StreamState
+    from lacewingcourse.relay.stream_state import AttemptResult, StreamState
 
 
 class Forwarder(Protocol):
-    """What forwards a stream, as far as a move needs it.
+    """The part of a stream forwarder that a move needs.
 
     Attributes:
-        routing_state: What is believed of the endpoints.
-        sender: What sends.
-        budget: Retries that are left.
-        stalls: Watches streams for standing still.
-        log: Log of decisions.
+        routing_state: This entry's view of the endpoints.
+        sender: Sends requests to endpoints.
+        budget: Retry budget.
+        stalls: Detects streams that stall behind dead endpoints.
+        log: Decision log.
     """
 
     routing_state: RoutingState
@@ -40,36 +40,36 @@
     stalls: StallWatcher
     log: DecisionLog
 
-    def path_now(
-        self, state: StreamState, besides: Collection[str] = ()
+    def reserve_path(
+        self, state: StreamState, also_avoid: Collection[str] = ()
     ) -> Path | Refusal:
-        """Return a path that a request may be sent on now, or why there is none."""
+        """Reserve what a send needs; return a path for it, or why there is none."""
 
-    def refused_now(self, job: Job) -> Refusal | None:
-        """Hold the retry that a send needs; return why it may not be sent, if so."""
+    def reserve_retry(self, job: Job) -> Refusal | None:
+        """Hold a retry for a request; return why it may not be sent, None if it may."""
 
-    def note_send(self, job: Job, path: Path) -> None:
-        """Note that a run was sent on a path."""
+    def record_send(self, job: Job, path: Path) -> None:
+        """Record that an attempt was sent on a path."""
 
-    def unreachable(self, job: Job, path: Path) -> None:
-        """Leave out the first endpoint of a path, to which no connection was made."""
+    def exclude_unreachable(self, job: Job, path: Path) -> None:
+        """Exclude the first endpoint of a path, to which no connection was made."""
 
-    def learn(self, job: Job, path: Path, result: RunResult) -> None:
-        """Leave out what failed, for this request or for all."""
+    def record_failure(self, job: Job, path: Path, result: AttemptResult) -> None:
+        """Log a failed attempt, and exclude endpoints for this request or for all."""
 
 
 @attrs.define
 class Mover:
-    """Finds the next path of a stream, and begins a run on it beside the present one.
+    """Finds the next path of a stalled stream, and starts a standby attempt on it.
 
-    Only its engine's answer tells whether that path has room after all. Until then the
-    present run is all that its caller has.
+    Whether that path has room is certain only once its first engine has responded.
+    Until then the stalled attempt stays open, as it is all that the caller has.
 
     Attributes:
         forwarder: Forwards the stream.
         state: The stream.
-        path: Path of the run that stands still.
-        fresh: Whether the next run goes over a new connection.
+        path: Path of the stalled attempt.
+        fresh: Whether the next attempt uses a new connection.
     """
 
     forwarder: Forwarder
@@ -82,32 +82,32 @@
         """The request."""
         return self.state.job
 
-    async def find(self) -> Replacement | Refusal:
-        """Return a path with a connection to it, or why there is none."""
+    async def find_replacement(self) -> Replacement | Refusal:
+        """Return the next path with a connection to it, or why there is none."""
         found = self._next_path()
         if isinstance(found, Refusal):
             return found
         path, has_room = found
         connection = await self.forwarder.sender.reserve(path.first.address, self.fresh)
         if isinstance(connection, NotSent):
-            self._drop_holds()
+            self._release_holds()
             if connection.cause is Unsent.UNREACHABLE:
-                self.forwarder.unreachable(self.job, path)
+                self.forwarder.exclude_unreachable(self.job, path)
             return Refusal(ErrorKind.NO_ROUTE, connection.reason)
         replacement = Replacement(path, connection, has_room)
-        refusal = self.forwarder.refused_now(self.job)
+        refusal = self.forwarder.reserve_retry(self.job)
         if refusal is not None:
             self.discard(replacement)
             return refusal
         return replacement
 
     def discard(self, found: Replacement) -> None:
-        """Give back what a path that was found would have been used with."""
+        """Close the connection of an unused replacement, and release its holds."""
         found.connection.close()
-        self._drop_holds()
+        self._release_holds()
 
-    async def begin(self, found: Replacement) -> Standby | None:
-        """Begin a run on a path that was found; None if it was not sent."""
+    async def start_standby(self, found: Replacement) -> Standby | None:
+        """Start an attempt on the path of a replacement; None if it was not sent."""
         forwarder, job, path = self.forwarder, self.job, found.path
         now = forwarder.sender.clock()
         after = self.state.cutter.last_id
@@ -119,52 +119,55 @@
         if isinstance(sent, NotSent):
             return None
         forwarder.routing_state.loads.begin(path, self.state.demand.tokens)
-        forwarder.note_send(job, path)
+        forwarder.record_send(job, path)
         forwarder.stalls.end(job)
         forwarder.stalls.begin(job, now)
         return Standby(path, sent, now)
 
-    def end(self, standby: Standby) -> None:
-        """Note that a run has ended, or that its stream goes on with it."""
+    def release_load(self, standby: Standby) -> None:
+        """Remove a standby's load, once it has ended or the stream continues on it.
+
+        A stream that continues on it adds the load again.
+        """
         self.forwarder.routing_state.loads.end(standby.path, self.state.demand.tokens)
 
-    def drop(self, standby: Standby) -> None:
-        """Close a run in whose place the other one goes on."""
+    def drop_standby(self, standby: Standby) -> None:
+        """Close a standby that is not needed, and keep the current attempt."""
         standby.exchange.abandon()
-        ran = self.forwarder.sender.clock() - standby.began_at
+        ran = self.forwarder.sender.clock() - standby.started_at
         self.forwarder.log.standby_dropped(self.job, ran)
-        self._keep_present(standby)
+        self._restore_current(standby)
 
-    def failed(self, standby: Standby) -> None:
-        """Learn from a run that its engine did not accept."""
-        if standby.failure.end is StreamEnd.DROPPED:
-            # It takes no attempt; the next one goes over a new connection.
+    def on_standby_failed(self, standby: Standby) -> None:
+        """Record the failure of a standby, and keep the current attempt."""
+        if standby.failure.end is AttemptEnd.DROPPED:
+            # A stale connection costs no attempt; the next one uses a new connection.
             self.job.sends -= 1
             self.fresh = True
-            self.forwarder.sender.pool.drop(standby.path.first.address)
+            self.forwarder.sender.pool.close_idle(standby.path.first.address)
         else:
-            self.forwarder.learn(self.job, standby.path, standby.failure)
-        self._keep_present(standby)
+            self.forwarder.record_failure(self.job, standby.path, standby.failure)
+        self._restore_current(standby)
 
-    def _drop_holds(self) -> None:
-        self.forwarder.sender.drop_holds(self.job)
+    def _release_holds(self) -> None:
+        self.forwarder.sender.release_holds(self.job)
 
-    def _keep_present(self, standby: Standby) -> None:
-        self.end(standby)
+    def _restore_current(self, standby: Standby) -> None:
+        self.release_load(standby)
         self.forwarder.stalls.end(self.job)
         self.job.path = self.path
 
     def _next_path(self) -> tuple[Path, bool] | Refusal:
-        """Return a path, and whether it has room beside the present run."""
+        """Return a path, and whether it has room while the current attempt is open."""
         job, path, tokens = self.job, self.path, self.state.demand.tokens
-        besides = [] if path.uses(job.avoid) else [p.endpoint for p in path.parts]
-        found = self.forwarder.path_now(self.state, besides)
+        also_avoid = [] if path.uses(job.avoid) else [p.endpoint for p in path.parts]
+        found = self.forwarder.reserve_path(self.state, also_avoid)
         if not isinstance(found, Refusal):
             return found, True
         loads = self.forwarder.routing_state.loads
         loads.end(path, tokens)
         try:
-            found = self.forwarder.path_now(self.state, besides)
+            found = self.forwarder.reserve_path(self.state, also_avoid)
         finally:
             loads.begin(path, tokens)
         return found if isinstance(found, Refusal) else (found, False)
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -1,4 +1,4 @@
-"""Forwarding of streams of events, which go on elsewhere when a path breaks."""
+"""Forwarding of event streams, which move to another path when theirs breaks."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from lacewingcourse.relay.moving import Mover
 from lacewingcourse.relay.path_finder import demand_of
 from lacewingcourse.relay.sending import Sender
-from lacewingcourse.relay.stream_run import StreamRun
+from lacewingcourse.relay.stream_attempt import StreamAttempt
 from lacewingcourse.relay.stream_state import (
+    AttemptEnd,
+    AttemptResult,
     Replacement,
-    RunResult,
-    StreamEnd,
     StreamState,
 )
 from lacewingcourse.relay.upstream import SendOutcome
@@ -50,20 +50,20 @@
 
 @attrs.define
 class StreamForwarder:
-    """Sends streams along paths and passes their events on.
+    """Sends streams along paths and relays their events to the callers.
 
     Attributes:
-        routing_state: What is believed of the endpoints.
+        routing_state: This entry's view of the endpoints.
         finder: Finds paths.
-        sender: What sends.
-        budget: Repeats that are left.
-        rng: Source of draws.
-        admission: Lets requests onto paths.
-        stalls: Watches streams for standing still.
-        log: Log of decisions.
-        on_suspect: Called when an endpoint is left out that other entries still use.
-        on_denied: Called with the service and identifier of a request for which no
-            retry is left.
+        sender: Sends requests to endpoints.
+        budget: Retry budget.
+        rng: Random generator.
+        admission: Queue of requests that wait for room on a path.
+        stalls: Detects streams that stall behind dead endpoints.
+        log: Decision log.
+        on_suspect: Called when an endpoint is excluded that other entries still use.
+        on_denied: Called with the service and the request id when the retry budget
+            denies a retry.
     """
 
     routing_state: RoutingState
@@ -78,16 +78,25 @@
     on_denied: Callable[[str, str], None] = lambda service, request: None
 
     async def serve(self, job: Job, shape: EngineShape) -> Refusal | None:
-        """Forward a stream; return why its answer is not whole, if it is not."""
+        """Forward a stream to the caller.
+
+        Args:
+            job: The request.
+            shape: Performance figures of the service's engines.
+
+        Returns:
+            A refusal if the response could not be completed, None if it was, or if the
+            caller left.
+        """
         cutter = EventCutter(last_id=job.request.resume_after)
         state = StreamState(job, shape, demand_of(job, shape), cutter)
         try:
             return await self._serve(state)
         finally:
-            self.sender.drop_holds(job)
+            self.sender.release_holds(job)
 
     async def _serve(self, state: StreamState) -> Refusal | None:
-        """Run a stream until it is whole or cannot go on."""
+        """Make attempts until the response is complete or no further one is allowed."""
         job = state.job
         replacement: Replacement | None = None
         while True:
@@ -96,68 +105,69 @@
             else:
                 path = await self._wait_for_path(state)
             if isinstance(path, Refusal):
-                return self._give_up(state, path.kind, path.reason, path.retry_after)
+                return self._fail(state, path.kind, path.reason, path.retry_after)
             now = self.sender.clock()
-            self._note_transfers(state, path, now)
-            result = await self._run(state, path, replacement)
+            self._record_transfers(state, path, now)
+            result = await self._run_attempt(state, path, replacement)
             replacement = result.replacement if result is not None else None
             if result is None:
-                self.unreachable(job, path)
+                self.exclude_unreachable(job, path)
                 continue
-            if result.end in (StreamEnd.WHOLE, StreamEnd.ABANDONED):
+            if result.end in (AttemptEnd.WHOLE, AttemptEnd.ABANDONED):
                 return None
-            if result.end is StreamEnd.NOT_TAKEN:
-                return self._give_up(state, ErrorKind.DRAINING, result.reason)
-            if result.end is StreamEnd.HELD:
+            if result.end is AttemptEnd.NOT_TAKEN:
+                return self._fail(state, ErrorKind.DRAINING, result.reason)
+            if result.end is AttemptEnd.HELD:
                 if not job.caller.begun or job.caller.gone:
-                    return self._give_up(state, ErrorKind.OVERLOADED, result.reason)
+                    return self._fail(state, ErrorKind.OVERLOADED, result.reason)
                 await asyncio.sleep(RETRY_PERIOD)
                 continue
-            if result.end in (StreamEnd.NO_RETRY, StreamEnd.LIMITED):
+            if result.end in (AttemptEnd.NO_RETRY, AttemptEnd.LIMITED):
                 continue
-            self.learn(job, path, result)
+            self.record_failure(job, path, result)
             if replacement is not None and replacement.standby is not None:
                 continue
-            if result.end is StreamEnd.OVERDUE:
-                return self._give_up(state, ErrorKind.DEADLINE_EXCEEDED, result.reason)
-            if result.end is StreamEnd.FAILED or not job.may_send_again:
-                return self._give_up(state, self._kind(result), "no attempt is left")
+            if result.end is AttemptEnd.OVERDUE:
+                return self._fail(state, ErrorKind.DEADLINE_EXCEEDED, result.reason)
+            if result.end is AttemptEnd.FAILED or not job.may_send_again:
+                return self._fail(state, self._error_kind(result), "no attempt is left")
 
     async def _wait_for_path(self, state: StreamState) -> Path | Refusal:
-        """Return a path for a request, or why none was found while it waited."""
-        asked = self.sender.clock()
+        """Return a path, waiting for room if necessary, or why none was found."""
+        queued_at = self.sender.clock()
         path = await self.admission.path_for(
-            state.job, state.demand, lambda: self.path_now(state)
+            state.job, state.demand, lambda: self.reserve_path(state)
         )
-        state.job.waited += self.sender.clock() - asked
+        state.job.waited += self.sender.clock() - queued_at
         return path
 
-    def path_now(
-        self, state: StreamState, besides: Collection[str] = ()
+    def reserve_path(
+        self, state: StreamState, also_avoid: Collection[str] = ()
     ) -> Path | Refusal:
-        """Return a path that a request may be sent on now, or why there is none.
+        """Reserve what a send needs; return a path for it, or why there is none.
 
-        The request holds the retry and the place under a limit that the send needs.
+        The request then holds a retry, if it needs one, and a permit of the first
+        endpoint's rate limit.
 
         Args:
             state: The stream.
-            besides: Endpoints to avoid besides those that it avoids anyway.
+            also_avoid: Endpoints to avoid in addition to the request's own.
         """
         job = state.job
-        refusal = self.refused_now(job)
+        refusal = self.reserve_retry(job)
         if refusal is not None:
             return refusal
         limits = self.routing_state.send_limits
         limits.release(job)
-        found = self.finder.find(job, state.shape, state.demand, besides)
+        found = self.finder.find(job, state.shape, state.demand, also_avoid)
         if isinstance(found, Refusal):
-            self.sender.drop_holds(job)
+            self.sender.release_holds(job)
         else:
             limits.hold(found.first.endpoint, job, self.sender.clock())
         return found
 
-    def refused_now(self, job: Job) -> Refusal | None:
-        """Hold the retry that a send needs; return why it may not be sent, if so."""
+    def reserve_retry(self, job: Job) -> Refusal | None:
+        """Hold a retry for a request; return why it may not be sent, None if it may."""
         now = self.sender.clock()
         refusal = job.refused_at(now)
         if refusal is not None:
@@ -169,57 +179,60 @@
             return Refusal(ErrorKind.RETRIES_EXHAUSTED, Unsent.NO_RETRY.value)
         return None
 
-    def _note_transfers(self, state: StreamState, path: Path, now: float) -> None:
-        """Note the time that a prompt takes on the links of its path."""
+    def _record_transfers(self, state: StreamState, path: Path, now: float) -> None:
+        """Record the load that a prompt's transfer puts on the links of its path."""
         for pair in path.crossings:
             seconds = state.shape.transfer_seconds(state.demand.prompt)
             self.routing_state.links.add(pair, seconds, now)
 
-    async def _run(
+    async def _run_attempt(
         self, state: StreamState, path: Path, replacement: Replacement | None
-    ) -> RunResult | None:
-        """Run a stream on a path; None if the request never left this process.
+    ) -> AttemptResult | None:
+        """Make an attempt on a path; return None if the request was not sent.
 
         Args:
             state: The stream.
             path: The path.
-            replacement: What it was found as, None for a stream that moves from none.
+            replacement: Replacement of a stalled attempt that the path belongs to,
+                None if it replaces none.
         """
         job = state.job
         job.path = path
         self.routing_state.loads.begin(path, state.demand.tokens)
         try:
             fresh = not job.route.retry_safety.may_retry
-            result = await self._relay(state, fresh, replacement)
-            if result is None or result.end is not StreamEnd.DROPPED:
+            result = await self._send_and_relay(state, fresh, replacement)
+            if result is None or result.end is not AttemptEnd.DROPPED:
                 return result
-            # Endpoints drop kept connections without notice. Taken for a lost run, each
-            # of these would use up an attempt of the route and a retry.
+            # Endpoints close pooled connections without notice. Counted as lost
+            # attempts, these would use up the route's attempts and the retry budget.
             job.sends -= 1
-            self.sender.pool.drop(path.first.address)
-            again = await self._relay(state, fresh=True)
-            if again is None:
-                # The endpoint is gone, perhaps under this request.
+            self.sender.pool.close_idle(path.first.address)
+            retried = await self._send_and_relay(state, fresh=True)
+            if retried is None:
+                # The endpoint cannot be reached any more. It may have crashed while it
+                # ran this request.
                 job.sends += 1
-                self.unreachable(job, path)
-                return RunResult(StreamEnd.LOST, result.reason, first_lost=True)
-            return again
+                self.exclude_unreachable(job, path)
+                return AttemptResult(AttemptEnd.LOST, result.reason, first_lost=True)
+            return retried
         finally:
             self.routing_state.loads.end(path, state.demand.tokens)
 
-    async def _relay(
+    async def _send_and_relay(
         self, state: StreamState, fresh: bool, replacement: Replacement | None = None
-    ) -> RunResult | None:
-        """Send a stream on its path and pass on what comes; None if it never left.
+    ) -> AttemptResult | None:
+        """Send a stream on its path and relay the response; None if it was not sent.
 
         Args:
             state: The stream.
             fresh: Whether to send it over a new connection.
-            replacement: What it goes on with, None if its path is its first one.
+            replacement: Replacement of a stalled attempt: an open standby, or a
+                connection to send over. None if this attempt replaces none.
         """
         if replacement is not None and replacement.standby is not None:
             standby = replacement.standby
-            return await self._pass_on(state, standby.exchange, standby.head)
+            return await self._relay_response(state, standby.exchange, standby.head)
         reserved = replacement.connection if replacement is not None else None
         job = state.job
         now = self.sender.clock()
@@ -228,26 +241,26 @@
         if now >= job.until:
             if reserved is not None:
                 reserved.close()
-            return self._unsent(NotSent(Unsent.OVERDUE))
+            return self._result_of_unsent(NotSent(Unsent.OVERDUE))
         sending = job.sending(
             first.name, first.address, job.path, now, after, first.endpoint
         )
         sent = await self.sender.send(job, sending, fresh, reserved)
         if isinstance(sent, NotSent):
             job.note(SendOutcome.NEVER_LEFT, sent.reason)
-            return self._unsent(sent)
-        self.note_send(job, job.path)
-        return await self._pass_on(state, sent, None)
+            return self._result_of_unsent(sent)
+        self.record_send(job, job.path)
+        return await self._relay_response(state, sent, None)
 
-    async def _pass_on(
+    async def _relay_response(
         self, state: StreamState, sent: Exchange, head: Head | None
-    ) -> RunResult:
-        """Pass on what arrives of a run that was sent.
+    ) -> AttemptResult:
+        """Relay the response of an attempt that was sent.
 
         Args:
             state: The stream.
-            sent: What was sent.
-            head: Head of its answer if that arrived already.
+            sent: The HTTP exchange of the attempt.
+            head: Head of the response if it was already received.
         """
         job = state.job
         try:
@@ -257,20 +270,20 @@
                 job.caller_gone()
             state.cutter.restart()
             mover = Mover(self, state, job.path)
-            run = StreamRun(
+            attempt = StreamAttempt(
                 state, sent, self.sender, self.stalls, self.log, mover, head
             )
-            return await run.relay()
+            return await attempt.relay()
         except BaseException:
-            # The engine must not work on for a caller whose answer has ended.
+            # Stop the engine: the caller's response has ended.
             sent.abandon()
             raise
         finally:
             job.current = None
             self.stalls.end(job)
 
-    def note_send(self, job: Job, path: Path) -> None:
-        """Note that a run was sent on a path."""
+    def record_send(self, job: Job, path: Path) -> None:
+        """Record that an attempt was sent on a path."""
         job.sends += 1
         job.firsts.add(path.first.endpoint)
         job.path = path
@@ -278,52 +291,52 @@
         limit = self.routing_state.limits.named(path.first.endpoint)
         self.log.sent(job, path.first.endpoint, age, job.waited, limit)
 
-    def unreachable(self, job: Job, path: Path) -> None:
-        """Leave out the first endpoint of a path, to which no connection was made."""
+    def exclude_unreachable(self, job: Job, path: Path) -> None:
+        """Exclude the first endpoint of a path, to which no connection was made."""
         endpoint = path.first.endpoint
         reason = Unsent.UNREACHABLE.value
         self.routing_state.suspects.suspect(endpoint, reason, self.sender.clock())
         job.avoid.add(endpoint)
 
-    def _unsent(self, sent: NotSent) -> RunResult | None:
-        """Return what a request amounts to that was not sent; None to try elsewhere.
+    def _result_of_unsent(self, sent: NotSent) -> AttemptResult | None:
+        """Return the result of a request that was not sent, None to try another path.
 
-        A time that is over, or a lack of this entry, says nothing of the endpoint: left
-        out for it, one request after the other would take every endpoint from all
-        others.
+        A passed deadline or a shortage in this entry is no fault of the endpoint. If
+        endpoints were excluded for it, a few such requests would exclude all of them
+        for every other request.
         """
         if sent.cause is Unsent.OVERDUE:
-            return RunResult(StreamEnd.OVERDUE, sent.reason)
+            return AttemptResult(AttemptEnd.OVERDUE, sent.reason)
         if sent.cause is Unsent.NO_DESCRIPTOR:
-            return RunResult(StreamEnd.HELD, sent.reason)
+            return AttemptResult(AttemptEnd.HELD, sent.reason)
         if sent.cause is Unsent.LEAVING:
-            return RunResult(StreamEnd.NOT_TAKEN, sent.reason)
+            return AttemptResult(AttemptEnd.NOT_TAKEN, sent.reason)
         if sent.cause is Unsent.NO_RETRY:
-            return RunResult(StreamEnd.NO_RETRY, sent.reason)
+            return AttemptResult(AttemptEnd.NO_RETRY, sent.reason)
         if sent.cause is Unsent.OVER_LIMIT:
-            return RunResult(StreamEnd.LIMITED, sent.reason)
+            return AttemptResult(AttemptEnd.LIMITED, sent.reason)
         return None
 
-    def learn(self, job: Job, path: Path, result: RunResult) -> None:
-        """Leave out what failed, for this request or for all."""
+    def record_failure(self, job: Job, path: Path, result: AttemptResult) -> None:
+        """Log a failed attempt, and exclude endpoints for this request or for all."""
         now = self.sender.clock()
         at_fault = [p for p in path.parts if p.address == result.fault_address]
         filled = None
         if at_fault:
             endpoint = at_fault[0].endpoint
             job.avoid.add(endpoint)
-            filled = self._filled(job, at_fault[0])
+            filled = self._memory_share(job, at_fault[0])
             if is_full(result.misdirected, filled):
-                self.stalls.ask(at_fault[0], now)
+                self.stalls.probe(at_fault[0], now)
             else:
                 self.routing_state.suspects.suspect(endpoint, result.reason, now)
-                # Its word reaches the others in a round of news; until then each of
-                # them sends it requests, and every one costs a retry.
+                # Gossip reaches the other entries one round later. Until then each of
+                # them sends requests to this endpoint, and each request costs a retry.
                 self.on_suspect()
         elif result.first_lost:
             job.avoid.add(path.first.endpoint)
             self.routing_state.crashes.strike(job.fingerprint, path.first.endpoint, now)
-        elif result.end is StreamEnd.STALLED:
+        elif result.end is AttemptEnd.STALLED:
             if not path.uses(job.avoid):
                 job.avoid.update(part.endpoint for part in path.parts)
         else:
@@ -331,33 +344,35 @@
         fault = at_fault[0].endpoint if at_fault else ""
         self.log.lost(job, path.first.endpoint, result.reason, fault, filled)
 
-    def _filled(self, job: Job, part: Part) -> float:
-        """Return the share of a part's memory that is believed to be taken."""
+    def _memory_share(self, job: Job, part: Part) -> float:
+        """Return the estimated share of a part's memory that is in use."""
         shape = self.routing_state.shape(job.service)
         if shape is None:
             return 0.0
         return self.routing_state.chooser(shape).filled(part)
 
-    def _kind(self, result: RunResult) -> ErrorKind:
-        if result.end is StreamEnd.REJECTED:
+    def _error_kind(self, result: AttemptResult) -> ErrorKind:
+        if result.end is AttemptEnd.REJECTED:
             return ErrorKind.OVERLOADED
         return ErrorKind.STAGE_LOST
 
-    def _give_up(
+    def _fail(
         self,
         state: StreamState,
         kind: ErrorKind,
         cause: str,
-        next_in: float | None = None,
+        limit_wait: float | None = None,
     ) -> Refusal | None:
-        """Return how a stream ends that cannot go on; None if it was answered.
+        """Return the refusal of a stream that cannot continue.
+
+        Returns None if an engine's own error response was sent to the caller instead.
 
         Args:
             state: The stream.
-            kind: Why it cannot.
+            kind: Kind of the refusal.
             cause: What happened.
-            next_in: Seconds until an endpoint takes a request by the limit that it
-                names, None if no limit is the cause.
+            limit_wait: Seconds until an endpoint's rate limit admits a request, None if
+                no limit is the cause.
         """
         job = state.job
         if state.failure is not None and not job.caller.begun:
@@ -368,12 +383,12 @@
             return Refusal(kind, cause, Outcome.PARTIAL)
         job.reason = job.reason or cause
         wait = self._retry_after(job, kind)
-        if next_in is not None:
-            wait = max(wait, retry_after_limit(next_in, self.rng.random()))
+        if limit_wait is not None:
+            wait = max(wait, retry_after_limit(limit_wait, self.rng.random()))
         return job.failure(kind, wait)
 
     def _retry_after(self, job: Job, kind: ErrorKind) -> float:
-        """Return the seconds after which the caller of a refused request comes back."""
+        """Return the seconds after which a refused caller should retry."""
         draw = self.rng.random()
         if kind is ErrorKind.RETRIES_EXHAUSTED:
             return retry_after_denied(draw)
--- a/packages/relay/tests/relay/stream_play.py
+++ b/packages/relay/tests/relay/stream_scenario.py
@@ -1,4 +1,4 @@
-"""One stream on its way through the forwarder, with engines that follow a script."""
+"""A stream through the real forwarder, with engines that follow a script."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
 
 from .routes import route_of
 
-#: Events of an answer.
-EVENTS = 20
+#: Events of a response.
+EVENT_COUNT = 20
 #: Seconds between two of them.
-STEP = 0.05
-#: A budget that allows retries without end, and one that allows none.
-PLENTY = 10_000.0
-NONE = 0.0
+EVENT_INTERVAL = 0.05
+#: Slack of a retry budget that never runs out, and of one that allows no retry.
+UNLIMITED_RETRIES = 10_000.0
+NO_RETRIES = 0.0
 
 
 def event(number: int) -> bytes:
-    """Return one event of an answer."""
+    """Return one event of a response."""
     return b"id: %d\ndata: word %d\n\n" % (number, number)
 
 
@@ -58,17 +58,17 @@
 
 @attrs.define
 class Engine:
-    """What the first engine of a path does with a run.
+    """How the first engine of a path responds to an attempt.
 
     Attributes:
         pause_after: Event after which it pauses, 0 for before the first one, None for
             no pause.
         pause: Seconds of that pause.
-        breaks: Whether it ends the run there.
-        status: Status of its answer.
-        drops: Whether it has dropped the connections that are kept to it.
+        breaks: Whether it breaks off the response after the pause.
+        status: HTTP status of its response.
+        drops: Whether it has closed the pooled connections to it.
         stops_after: Event after which it writes nothing more, None for none.
-        accepts_after: Seconds after which its answer begins.
+        accepts_after: Seconds after which its response begins.
     """
 
     pause_after: int | None = None
@@ -80,8 +80,8 @@
     accepts_after: float = 0.0
 
 
-class Run:
-    """A run of a stream on an engine; stands for the exchange that carries it."""
+class EngineRun:
+    """An attempt on a scripted engine, in place of the HTTP exchange."""
 
     def __init__(self, engine: Engine, after: int, fresh: bool) -> None:
         self.arrivals: asyncio.Queue = asyncio.Queue()
@@ -108,8 +108,8 @@
         if engine.breaks and engine.pause_after == 0:
             self.arrivals.put_nowait(End(False, "ended early"))
             return
-        for number in range(after + 1, EVENTS + 1):
-            await asyncio.sleep(STEP)
+        for number in range(after + 1, EVENT_COUNT + 1):
+            await asyncio.sleep(EVENT_INTERVAL)
             self._put(event(number))
             if number == engine.stops_after:
                 return
@@ -128,7 +128,7 @@
 
 
 class CallerStub:
-    """A caller that reads what it is sent, and stays."""
+    """A caller that reads everything and does not leave."""
 
     def __init__(self) -> None:
         self.body = b""
@@ -159,8 +159,8 @@
         self.ended = self.broken = True
 
 
-class Decisions:
-    """Keeps the events that are logged."""
+class RecordingLog:
+    """A decision log that keeps the events logged."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -173,35 +173,35 @@
 
 
 @attrs.define(slots=False)
-class StreamPlay:
+class StreamScenario:
     """A stream through endpoints a and b; c and d hold the same layers.
 
     Attributes:
-        shape: Figures of the engines.
-        engines: What the first engine of each path does, by its name.
-        slack: Repeats that are allowed.
-        room_from: Time from which the second path has room, seconds.
-        lacks_descriptors: From when until when there are no file descriptors, seconds.
-        retry_safety: What may be repeated.
-        attempts: Endpoints to which the route lets a request be sent.
-        resume_after: Last event that the caller has already, or empty.
+        shape: Performance figures of the engines.
+        engines: Behaviour of the first engine of each path, by its name.
+        slack: Retries that the budget allows.
+        room_available_at: Time from which the second path has room, seconds.
+        descriptor_outage: Start and end of the time without file descriptors, seconds.
+        retry_safety: What may be sent again.
+        attempts: Maximum number of attempts of the route.
+        resume_after: Last event that the caller already has, or empty.
     """
 
     shape: EngineShape
     engines: dict[str, Engine]
-    slack: float = PLENTY
-    room_from: float = 0.0
-    lacks_descriptors: tuple[float, float] = (0.0, 0.0)
+    slack: float = UNLIMITED_RETRIES
+    room_available_at: float = 0.0
+    descriptor_outage: tuple[float, float] = (0.0, 0.0)
     retry_safety: RetrySafety = RetrySafety.RESUMABLE_STREAM
     attempts: int = 2
     resume_after: str = ""
 
     def __attrs_post_init__(self) -> None:
-        self.runs: list[tuple[float, str, Run]] = []
+        self.runs: list[tuple[float, str, EngineRun]] = []
         self.caller = CallerStub()
         self.ended_at = 0.0
         self.pool = ConnectionPool()
-        self.log = Decisions()
+        self.log = RecordingLog()
         self.budget = RetryBudget(0.0, 10.0, self.slack)
         self.routing_state = RoutingState()
         service = SimpleNamespace(shape=self.shape)
@@ -209,17 +209,18 @@
 
     @property
     def firsts(self) -> list[str]:
-        """First endpoints of the runs, in order."""
+        """First endpoints of the attempts, in order."""
         return [name for _, name, _ in self.runs]
 
     def clock(self) -> float:
         return asyncio.get_running_loop().time()
 
-    async def serve(self, *happenings) -> Refusal | None:
-        """Serve the stream; return how it ended if not whole.
+    async def serve(self, *scheduled_calls) -> Refusal | None:
+        """Serve the stream; return the refusal if the response is not complete.
 
         Args:
-            happenings: Pairs of a time and what is called with the watcher then.
+            scheduled_calls: Pairs of a time in seconds and a function that is called
+                with the stall watcher at that time.
         """
         watcher = StallWatcher(
             SimpleNamespace(report=self._report),
@@ -241,19 +242,19 @@
             watcher,
             self.log,
         )
-        for at, call in happenings:
+        for at, call in scheduled_calls:
             asyncio.get_running_loop().call_at(at, call, watcher)
         self.job = self._job()
         ended = await forwarder.serve(self.job, self.shape)
         self.ended_at = self.clock()
         return ended
 
-    def dies(self, *names: str):
-        """Return what tells a watcher that endpoints are dead."""
-        return lambda watcher: watcher._dead(set(names), "no report")
+    def declare_dead(self, *names: str):
+        """Return a function that makes a watcher declare endpoints dead."""
+        return lambda watcher: watcher._declare_dead(set(names), "no report")
 
-    def allow(self, slack: float):
-        """Return what changes the retries that are allowed."""
+    def set_slack(self, slack: float):
+        """Return a function that changes the retries that the budget allows."""
 
         def change(watcher) -> None:
             self.budget.slack = slack
@@ -271,7 +272,7 @@
         second = path_of("c", "d")
         if second.uses(avoided):
             return Refusal(ErrorKind.NO_ROUTE, "no path holds every layer")
-        if self.clock() < self.room_from:
+        if self.clock() < self.room_available_at:
             return Refusal(ErrorKind.OVERLOADED, "no path has memory")
         return second
 
@@ -286,14 +287,14 @@
             received_at=0.0,
             resume_after=self.resume_after,
             answer_hint=None,
-            most_answer=EVENTS,
+            most_answer=EVENT_COUNT,
             prompt=100,
         )
         return Job(request, route, "rooms", Organisation(""), self.caller, False, 20.0)
 
     @property
     def codec(self):
-        """What reads heads; an answer without success is a rejection."""
+        """A codec for which every response without success is a rejection."""
         headers = {"Content-Length": str(len(whole_answer()))}
         return SimpleNamespace(
             head=self._head, for_caller=lambda head: HTTPHeaders(headers)
@@ -304,33 +305,33 @@
         return AnswerHead(status, headers, standing)
 
     async def reserve(self, address, fresh) -> SimpleNamespace | NotSent:
-        start, end = self.lacks_descriptors
+        start, end = self.descriptor_outage
         if start <= self.clock() < end:
             return NotSent(Unsent.NO_DESCRIPTOR)
         return SimpleNamespace(close=lambda: None, reused=not fresh)
 
-    async def send(self, job, sending, fresh, reserved=None) -> Run | NotSent:
+    async def send(self, job, sending, fresh, reserved=None) -> EngineRun | NotSent:
         return await Sender.send(self, job, sending, fresh, reserved)
 
-    #: What a send needs is decided as it really is.
-    drop_holds = Sender.drop_holds
-    _cause_unsent = Sender._cause_unsent
+    #: The checks of a send are those of the real sender.
+    release_holds = Sender.release_holds
+    _claim_send = Sender._claim_send
 
     @property
     def limits(self) -> SendLimits:
         return self.routing_state.send_limits
 
-    def start(self, job, sending, connection) -> Run:
+    def start(self, job, sending, connection) -> EngineRun:
         name = sending.path.first.endpoint
         after = int(sending.resume_after or 0)
-        run = Run(self.engines.get(name, Engine()), after, not connection.reused)
+        run = EngineRun(self.engines.get(name, Engine()), after, not connection.reused)
         self.runs.append((self.clock(), name, run))
         return run
 
     def release(self, exchange, head) -> None:
-        """Keep nothing."""
+        """Return no connection to a pool."""
 
 
 def whole_answer() -> bytes:
-    """Return what a caller has read of a whole answer."""
-    return b"".join(event(number) for number in range(1, EVENTS + 1))
+    """Return the body of a complete response."""
+    return b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
--- a/packages/relay/tests/relay/test_message_age.py
+++ b/packages/relay/tests/relay/test_message_age.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("delay", [0.0, 1.5])
 def test_a_delayed_message_confirms_the_version_as_of_its_composition(network, delay):
-    network.rounds(2)
+    network.run_rounds(2)
     sender = network.entries[SENDER]
     network.clock.now += GOSSIP_PERIOD
     sender.configuration.freshness.confirm(network.clock())
@@ -64,7 +64,7 @@
 
 
 def test_a_delayed_limit_does_not_replace_a_newer_one(network):
-    network.rounds(2)
+    network.run_rounds(2)
     sender, receiver = network.entries[SENDER], network.entries[RECEIVER]
     now = network.clock()
     sender.routing_state.limits.observe("x", 9.0, now - 0.01, now)
@@ -78,7 +78,7 @@
 
 
 def test_a_delayed_message_does_not_mark_a_silent_entry_alive(network):
-    network.rounds(2)
+    network.run_rounds(2)
     sender = network.entries[SENDER]
     now = network.clock()
     sender.book.hear("a-02", "a-02", False, now, "a")
--- a/packages/relay/tests/relay/test_streams.py
+++ b/packages/relay/tests/relay/test_streams.py
@@ -1,4 +1,4 @@
-"""Tests of what is learned from streams that endpoints reject."""
+"""Tests of which endpoints are excluded or probed after they reject a stream."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     Head,
 )
 
-#: Tokens that a part of one layer has memory for.
+#: Tokens for which a part with one layer has memory.
 ROOM = 50_000
 PATH = Path(
     (Part("a", "a:1", "east", Layers(0, 1)), Part("b", "b:1", "east", Layers(1, 2))),
@@ -47,14 +47,14 @@
 
 
 class Recorder:
-    """Takes any call, and keeps the first arguments of those that a test reads."""
+    """Accepts any call, and records probes and the faults of `lost` log lines."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.probed: list[str] = []
         self.faults: list[tuple[str, float | None]] = []
 
-    def ask(self, part: Part, now: float) -> None:
-        self.asked.append(part.endpoint)
+    def probe(self, part: Part, now: float) -> None:
+        self.probed.append(part.endpoint)
 
     def lost(self, job, endpoint, reason, fault="", filled=None) -> None:
         self.faults.append((fault, filled))
@@ -67,7 +67,7 @@
 def rejected(shape):
     """Return a function that sends a stream which endpoint b rejects.
 
-    It returns what was believed after it and what was told.
+    The function returns the resulting view of the endpoints and the recorder.
     """
 
     def run(status: int, taken: float):
@@ -77,26 +77,26 @@
         for part in PATH.parts:
             routing_state.fleet.put(endpoint(part))
         routing_state.loads.from_peer("p", {"b": Load(1, 0, taken * ROOM)}, 0.0)
-        told = Recorder()
+        recorder = Recorder()
         forwarder = StreamForwarder(
             routing_state,
             SimpleNamespace(find=lambda job, shape, demand: PATH),
-            Sender(status),
+            RejectingSender(status),
             RetryBudget(0.2, 10.0, 20),
             Random(1),
-            Once(),
-            told,
-            told,
+            SinglePathAdmission(),
+            recorder,
+            recorder,
         )
         refusal = asyncio.run(forwarder.serve(make_job(), shape))
         assert isinstance(refusal, Refusal)
-        return routing_state, told
+        return routing_state, recorder
 
     return run
 
 
-class Once:
-    """Gives a path once, and none after it."""
+class SinglePathAdmission:
+    """Returns a path on the first call, and a refusal on later ones."""
 
     def __init__(self) -> None:
         self.given = False
@@ -108,8 +108,8 @@
         return PATH
 
 
-class Sender:
-    """Sends to an endpoint that rejects."""
+class RejectingSender:
+    """Sends to an endpoint that rejects every request."""
 
     def __init__(self, status: int) -> None:
         self.status = status
@@ -134,14 +134,14 @@
         return SimpleNamespace(arrivals=arrivals)
 
     def release(self, exchange, head) -> None:
-        """Drop the connection."""
+        """Return no connection to a pool."""
 
-    def drop_holds(self, job) -> None:
-        """Hold nothing."""
+    def release_holds(self, job) -> None:
+        """Do nothing, as no retry or permit is held."""
 
 
 def make_job():
-    """Return what the forwarder needs of a request."""
+    """Return a request with the attributes that the forwarder uses."""
     request = SimpleNamespace(
         resume_after="", answer_hint=None, most_answer=20, prompt=100
     )
@@ -168,15 +168,15 @@
     return job
 
 
-def test_an_endpoint_without_memory_is_left_to_other_requests(rejected):
-    routing_state, told = rejected(status=503, taken=0.9)
+def test_an_endpoint_without_memory_is_not_excluded_for_others(rejected):
+    routing_state, recorder = rejected(status=503, taken=0.9)
     assert routing_state.suspects.excluded(0.0) == set()
-    assert told.faults == [("b", 0.9)]
+    assert recorder.faults == [("b", 0.9)]
 
 
-def test_an_endpoint_that_may_be_full_or_dead_is_asked(rejected):
-    _, told = rejected(status=503, taken=0.9)
-    assert told.asked == ["b"]
+def test_an_endpoint_that_may_be_full_or_dead_is_probed(rejected):
+    _, recorder = rejected(status=503, taken=0.9)
+    assert recorder.probed == ["b"]
 
 
 @pytest.mark.parametrize(
@@ -184,7 +184,7 @@
     [(503, 0.1), (421, 0.9)],
     ids=["rejects with memory left", "lacks the layers"],
 )
-def test_an_endpoint_that_rejects_every_request_is_left_out(rejected, status, taken):
-    routing_state, told = rejected(status, taken)
+def test_an_endpoint_that_rejects_every_request_is_excluded(rejected, status, taken):
+    routing_state, recorder = rejected(status, taken)
     assert routing_state.suspects.excluded(0.0) == {"b"}
-    assert told.asked == []
+    assert recorder.probed == []
--- a/packages/relay/tests/relay/test_version_changes.py
+++ b/packages/relay/tests/relay/test_version_changes.py
@@ -18,8 +18,12 @@
 from lacewingcourse.relay.path_finder import PathFinder
 from lacewingcourse.relay.ports import EngineReport
 from lacewingcourse.relay.routing_state import RoutingState
-from lacewingcourse.relay.stall_watcher import PERIOD, SECOND_QUESTION, StallWatcher
-from lacewingcourse.relay.streams import RunResult, StreamEnd, StreamForwarder
+from lacewingcourse.relay.stall_watcher import (
+    CHECK_PERIOD,
+    SECOND_PROBE_DELAY,
+    StallWatcher,
+)
+from lacewingcourse.relay.streams import AttemptEnd, AttemptResult, StreamForwarder
 
 #: Turns of the event loop between the arrival of an answer and its processing.
 READ_TURNS = 3
@@ -117,9 +121,9 @@
     forwarder = StreamForwarder(
         routing_state, nothing, sender, nothing, Random(1), nothing, nothing, nothing
     )
-    result = RunResult(StreamEnd.REJECTED, "rejected", path.parts[1].address)
+    result = AttemptResult(AttemptEnd.REJECTED, "rejected", path.parts[1].address)
     job = make_job()
-    forwarder.learn(job, path, result)
+    forwarder.record_failure(job, path, result)
     assert job.avoid == {path.parts[1].endpoint}
 
 
@@ -135,8 +139,8 @@
 
     async def report(self, address: str, patience: float) -> EngineReport:
         if self.blocks and self.now == 0.0:
-            time.sleep(SECOND_QUESTION + PERIOD / 4)
-            self.now = SECOND_QUESTION + PERIOD / 2
+            time.sleep(SECOND_PROBE_DELAY + CHECK_PERIOD / 4)
+            self.now = SECOND_PROBE_DELAY + CHECK_PERIOD / 2
         for _ in range(READ_TURNS):
             await asyncio.sleep(0)
         return EngineReport()
@@ -175,8 +179,8 @@
         job.current = SimpleNamespace(arrivals=asyncio.Queue())
         watcher.begin(job, -2.0)
         watcher.progress(job, -1.0)
-        watcher.ask(job.path.first, 0.0)
-        while watcher.asking:
+        watcher.probe(job.path.first, 0.0)
+        while watcher.probing:
             await asyncio.sleep(0)
         return job
 
