--- a/packages/core/src/lacewingcourse/core/pipelines/peers.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/peers.py
@@ -7,28 +7,28 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.ending import (
-    NEWS_PERIOD,
+from lacewingcourse.core.pipelines.restart_estimate import (
+    GOSSIP_PERIOD,
     ROTATION_TIME,
-    Return,
-    first_back,
+    Restart,
+    first_ready,
 )
 
 #: Seconds after which an entry that was not heard is taken to be gone. Entries speak
 #: several times a second; a freeze or a cut of a second must not be missed by all.
-PEER_SILENT = 1.2
+PEER_SILENCE_TIMEOUT = 1.2
 #: Seconds for which the address of a silent entry is still tried.
-PEER_FORGOTTEN = 20.0
+PEER_RETENTION = 20.0
 #: Entries up to which each speaks with every other one. Loads then arrive within one
 #: round; the messages of a round grow with the square of the entries.
-FULL_MESH = 9
+MAX_FULL_MESH = 9
 #: Entries that one speaks to in a round at the most.
-MOST_PEERS = FULL_MESH - 1
+MAX_PEERS_PER_ROUND = MAX_FULL_MESH - 1
 #: Entries of an availability zone that speak for it. Two, so that the loss of one is
 #: noticed by nobody.
 HUBS_PER_ZONE = 2
 #: Silent entries that are tried in one round of a large deployment.
-MOST_SILENT = 2
+MAX_SILENT_PER_ROUND = 2
 #: Rank from which those count that are no hubs. Above the hubs of today's zones, so
 #: that they read the platform only when all hubs have fallen silent.
 MEMBER_RANK = 8
@@ -68,18 +68,18 @@
     leaving: bool = False
     leaving_since: float | None = None
     ends_at: float | None = None
-    back_since: float = float("-inf")
+    returned_at: float = float("-inf")
     reads: bool = True
 
-    def note_back(self, heard_at: float) -> None:
+    def mark_alive(self, heard_at: float) -> None:
         """Note that it was heard when it was not ending."""
         if self.leaving:
-            self.back_since = heard_at
+            self.returned_at = heard_at
         self.heard_at = heard_at
         self.leaving = False
         self.leaving_since = self.ends_at = None
 
-    def note_ending(self, ends_in: float | None, now: float) -> None:
+    def mark_leaving(self, ends_in: float | None, now: float) -> None:
         """Note that it was heard to be ending.
 
         Args:
@@ -92,7 +92,7 @@
         if self.leaving_since is None:
             self.leaving_since = now
 
-    def ended_by(self, grace: float, now: float) -> float:
+    def expected_end_time(self, grace: float, now: float) -> float:
         """Return when it is expected to have ended, seconds.
 
         One that fell silent while ending has ended with its last word.
@@ -101,16 +101,16 @@
             grace: Seconds in which an entry that is ending must have ended.
             now: Present time in seconds.
         """
-        told = self.ends_at
-        if told is None:
-            told = self.leaving_since + grace
-        if now - self.heard_at <= PEER_SILENT:
-            return told
-        return min(told, self.heard_at + NEWS_PERIOD)
+        ends_at = self.ends_at
+        if ends_at is None:
+            ends_at = self.leaving_since + grace
+        if now - self.heard_at <= PEER_SILENCE_TIMEOUT:
+            return ends_at
+        return min(ends_at, self.heard_at + GOSSIP_PERIOD)
 
 
 @attrs.define
-class PeerBook:
+class PeerTable:
     """The other entries that are known.
 
     A few entries all speak with one another. Many speak through hubs: each one with
@@ -129,9 +129,9 @@
     zone: str = ""
     peers: dict[str, Peer] = attrs.field(factory=dict)
     counts: dict[str, int] = attrs.field(factory=dict)
-    turn: int = 0
+    round_count: int = 0
 
-    def learn(self, name: str, address: str, now: float, zone: str = "") -> None:
+    def set_address(self, name: str, address: str, now: float, zone: str = "") -> None:
         """Take the address of an entry."""
         if name == self.name:
             return
@@ -141,7 +141,7 @@
         elif zone:
             known.zone = zone
 
-    def hear(
+    def record_message(
         self,
         name: str,
         address: str,
@@ -164,15 +164,15 @@
         """
         if name == self.name:
             return
-        self.learn(name, address, now, zone)
+        self.set_address(name, address, now, zone)
         peer = self.peers[name]
         peer.reads = reads
         if leaving:
-            peer.note_ending(ends_in, now)
+            peer.mark_leaving(ends_in, now)
         else:
-            peer.note_back(now)
+            peer.mark_alive(now)
 
-    def hear_of(
+    def record_report(
         self, name: str, address: str, zone: str, age: float, now: float
     ) -> None:
         """Note that another entry heard an entry some seconds ago.
@@ -182,25 +182,25 @@
         """
         if name == self.name:
             return
-        self.learn(name, address, now, zone)
+        self.set_address(name, address, now, zone)
         known = self.peers[name]
-        if known.leaving and now - known.heard_at <= PEER_SILENT:
+        if known.leaving and now - known.heard_at <= PEER_SILENCE_TIMEOUT:
             return
         if known.heard_at < now - age:
-            known.note_back(now - age)
+            known.mark_alive(now - age)
 
     def alive(self, now: float) -> list[str]:
         """Return the names of the entries known to be alive, this one among them."""
         heard = [
             peer.name
             for peer in self.peers.values()
-            if now - peer.heard_at <= PEER_SILENT and not peer.leaving
+            if now - peer.heard_at <= PEER_SILENCE_TIMEOUT and not peer.leaving
         ]
         return sorted([self.name, *heard])
 
-    def first_back(
+    def first_ready(
         self, grace: float, now: float, own_end: float | None = None
-    ) -> Return | None:
+    ) -> Restart | None:
         """Return the entry that callers are sent to first, None if they are to one.
 
         Args:
@@ -210,19 +210,19 @@
                 ending.
         """
         alive = [self.peers[name] for name in self.alive(now) if name != self.name]
-        if any(now - peer.back_since >= ROTATION_TIME for peer in alive):
+        if any(now - peer.returned_at >= ROTATION_TIME for peer in alive):
             return None
         if alive:
-            first = min(alive, key=lambda peer: peer.back_since)
-            return Return(first.name, first.back_since, first.back_since)
+            first = min(alive, key=lambda peer: peer.returned_at)
+            return Restart(first.name, first.returned_at, first.returned_at)
         returns = [
-            Return(peer.name, peer.ended_by(grace, now))
+            Restart(peer.name, peer.expected_end_time(grace, now))
             for peer in self.peers.values()
             if peer.leaving_since is not None
         ]
         if own_end is not None:
-            returns.append(Return(self.name, own_end))
-        return first_back(returns, now) or Return(self.name, now)
+            returns.append(Restart(self.name, own_end))
+        return first_ready(returns, now) or Restart(self.name, now)
 
     def ready_in(self, grace: float, now: float, own_end: float | None = None) -> float:
         """Return the seconds until an entry is expected to take connections.
@@ -233,7 +233,7 @@
             own_end: When this entry is expected to have ended, None if it is not
                 ending.
         """
-        first = self.first_back(grace, now, own_end)
+        first = self.first_ready(grace, now, own_end)
         return first.wait(now) if first is not None else 0.0
 
     def zone_of(self, name: str) -> str:
@@ -260,13 +260,13 @@
 
     def coordinators(self, now: float) -> set[str]:
         """Return the entries alive that all others know, at least one."""
-        if self.count(now) <= FULL_MESH:
+        if self.count(now) <= MAX_FULL_MESH:
             return set(self.alive(now))
         return {name for names in self.hubs(now).values() for name in names}
 
     def role(self, now: float) -> Role:
         """Return how this entry takes part in the exchange."""
-        if self.count(now) <= FULL_MESH:
+        if self.count(now) <= MAX_FULL_MESH:
             return Role.EQUAL
         is_hub = self.name in self.hubs(now)[self.zone]
         return Role.HUB if is_hub else Role.MEMBER
@@ -299,13 +299,13 @@
 
     def _coordinators_in_order(self, now: float) -> list[str]:
         """Return the entries alive that all others know, in order of their rank."""
-        if self.count(now) <= FULL_MESH:
+        if self.count(now) <= MAX_FULL_MESH:
             return self.alive(now)
         hubs = self.hubs(now).values()
         order = sorted((names.index(n), n) for names in hubs for n in names)
         return [name for _, name in order]
 
-    def partners(self, now: float, urgent: bool = False) -> list[Peer]:
+    def gossip_targets(self, now: float, urgent: bool = False) -> list[Peer]:
         """Return the entries to speak to in this round.
 
         Of two entries one speaks and the other answers, but for one that has gone
@@ -315,18 +315,18 @@
             now: Present time in seconds.
             urgent: Whether there is something that everybody must know at once.
         """
-        self.turn += 1
+        self.round_count += 1
         role = self.role(now)
         if role is Role.EQUAL:
-            return self._following(sorted(self.peers), now)[:MOST_PEERS]
+            return self._peers_after(sorted(self.peers), now)[:MAX_PEERS_PER_ROUND]
         hubs = self.hubs(now)
         near = [name for name in hubs[self.zone] if name != self.name]
         if role is Role.MEMBER:
-            spoken = near if urgent else self._in_turn(near, 1)
-            return [self.peers[name] for name in spoken] + self._tried(now)
-        return self._partners_of_hub(hubs, near, now, urgent)
+            targets = near if urgent else self._rotate(near, 1)
+            return [self.peers[name] for name in targets] + self._silent_to_probe(now)
+        return self._hub_targets(hubs, near, now, urgent)
 
-    def _partners_of_hub(
+    def _hub_targets(
         self, hubs: dict[str, list[str]], near: list[str], now: float, urgent: bool
     ) -> list[Peer]:
         """Return whom a hub speaks to: far hubs in turn, and all if it is urgent."""
@@ -335,24 +335,26 @@
             members = [n for n in self.alive(now) if self.zone_of(n) == self.zone]
             names = {*near, *far, *members} - {self.name}
             return [self.peers[name] for name in sorted(names)]
-        following = [peer.name for peer in self._following(sorted(far), now)]
-        spoken = near + self._in_turn(following, MOST_PEERS)
-        return [self.peers[name] for name in spoken] + self._tried(now)
+        following = [peer.name for peer in self._peers_after(sorted(far), now)]
+        targets = near + self._rotate(following, MAX_PEERS_PER_ROUND)
+        return [self.peers[name] for name in targets] + self._silent_to_probe(now)
 
-    def _following(self, names: list[str], now: float) -> list[Peer]:
+    def _peers_after(self, names: list[str], now: float) -> list[Peer]:
         """Return those after this one in order of names, and silent ones before it."""
         after = [self.peers[n] for n in names if n > self.name]
         before = [self.peers[n] for n in names if n < self.name]
-        return after + [p for p in before if now - p.heard_at > PEER_SILENT / 2]
+        return after + [
+            p for p in before if now - p.heard_at > PEER_SILENCE_TIMEOUT / 2
+        ]
 
-    def _in_turn(self, names: list[str], count: int) -> list[str]:
+    def _rotate(self, names: list[str], count: int) -> list[str]:
         """Return some of the names, others in the next round."""
         if len(names) <= count:
             return names
-        start = self.turn * count % len(names)
+        start = self.round_count * count % len(names)
         return (names[start:] + names[:start])[:count]
 
-    def _tried(self, now: float) -> list[Peer]:
+    def _silent_to_probe(self, now: float) -> list[Peer]:
         """Return silent entries to be tried again, others in the next round.
 
         Those of other zones are heard through their hubs, so they are silent here and
@@ -362,11 +364,13 @@
         silent = [
             peer.name
             for peer in self.peers.values()
-            if now - peer.heard_at > PEER_SILENT and peer.zone not in heard
+            if now - peer.heard_at > PEER_SILENCE_TIMEOUT and peer.zone not in heard
+        ]
+        return [
+            self.peers[n] for n in self._rotate(sorted(silent), MAX_SILENT_PER_ROUND)
         ]
-        return [self.peers[n] for n in self._in_turn(sorted(silent), MOST_SILENT)]
 
-    def told_to(self, zone: str, now: float) -> list[Peer]:
+    def peers_to_report(self, zone: str, now: float) -> list[Peer]:
         """Return the entries alive that one of an availability zone needs to know."""
         alive = [self.peers[name] for name in self.alive(now) if name != self.name]
         if self.role(now) is Role.EQUAL:
@@ -377,7 +381,7 @@
     def expire(self, now: float) -> None:
         """Forget entries that have been silent for long."""
         for peer in list(self.peers.values()):
-            if now - max(peer.heard_at, peer.known_since) > PEER_FORGOTTEN:
+            if now - max(peer.heard_at, peer.known_since) > PEER_RETENTION:
                 del self.peers[peer.name]
         zones = {peer.zone for peer in self.peers.values()}
         self.counts = {z: n for z, n in self.counts.items() if z in zones}
--- a/packages/core/src/lacewingcourse/core/pipelines/ending.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/restart_estimate.py
@@ -12,23 +12,23 @@
 #: Seconds between the end of an instance and its next start, at the most.
 RESTART_TIME = 1.0
 #: Seconds between its start and its first connections, at the most.
-START_TIME = 0.6
+STARTUP_TIME = 0.6
 #: Seconds between two news of an instance: by so much its last word may precede its
 #: end.
-NEWS_PERIOD = 0.2
+GOSSIP_PERIOD = 0.2
 #: Seconds after its end in which an instance takes connections again.
-BACK_AFTER = RESTART_TIME + START_TIME + NEWS_PERIOD
+READY_AFTER = RESTART_TIME + STARTUP_TIME + GOSSIP_PERIOD
 #: Seconds after its return in which the balancer sends callers to an instance: it asks
 #: once a second, and until then may send them to those that are ending.
 ROTATION_TIME = 1.0
 #: Least seconds until one is back while none is known to be: its own first news.
-LEAST_WAIT = 0.5
+MIN_WAIT = 0.5
 #: Seconds beyond the expected time after which an instance is waited for no more.
 OVERDUE_TIME = 1.0
 
 
 @attrs.frozen
-class Return:
+class Restart:
     """An instance that starts again.
 
     Attributes:
@@ -39,24 +39,24 @@
 
     name: str
     ends_at: float
-    back_since: float | None = None
+    returned_at: float | None = None
 
     @property
     def ready_at(self) -> float:
         """When callers are expected to be sent to it, seconds."""
-        if self.back_since is not None:
-            return self.back_since + ROTATION_TIME
-        return self.ends_at + BACK_AFTER
+        if self.returned_at is not None:
+            return self.returned_at + ROTATION_TIME
+        return self.ends_at + READY_AFTER
 
     def wait(self, now: float) -> float:
         """Return the seconds until callers are expected to be sent to it."""
-        least = LEAST_WAIT if self.back_since is None else 0.0
-        return max(least, self.ready_at - now)
+        min_wait = MIN_WAIT if self.returned_at is None else 0.0
+        return max(min_wait, self.ready_at - now)
 
     def describe(self, now: float) -> str:
         """Return what is known of it, for a log line."""
-        if self.back_since is not None:
-            return f"{self.name} is back since {now - self.back_since:.1f} s"
+        if self.returned_at is not None:
+            return f"{self.name} is back since {now - self.returned_at:.1f} s"
         left = self.ends_at - now
         if left >= 0:
             return f"{self.name} ends in {left:.1f} s"
@@ -64,7 +64,7 @@
 
 
 def expected_end(
-    soonest: float, last: float, rests: Iterable[float], now: float
+    soonest: float, last: float, remaining: Iterable[float], now: float
 ) -> float:
     """Return when an instance that is ending is expected to have ended.
 
@@ -74,11 +74,11 @@
         rests: Seconds that each of its open answers is expected to take yet.
         now: Present time in seconds.
     """
-    longest = max(rests, default=0.0)
+    longest = max(remaining, default=0.0)
     return min(last, max(soonest, now + longest))
 
 
-def first_back(returns: Iterable[Return], now: float) -> Return | None:
+def first_ready(returns: Iterable[Restart], now: float) -> Restart | None:
     """Return the instance that is expected to be back first, None if none is."""
-    due = [each for each in returns if each.ready_at + OVERDUE_TIME > now]
-    return min(due, key=lambda each: each.ready_at, default=None)
+    pending = [each for each in returns if each.ready_at + OVERDUE_TIME > now]
+    return min(pending, key=lambda each: each.ready_at, default=None)
--- a/packages/core/tests/pipelines/limit_fleet.py
+++ b/packages/core/tests/pipelines/limit_fleet.py
@@ -13,7 +13,7 @@
     LIMIT_SHARINGS,
     PermitSharing,
 )
-from lacewingcourse.core.pipelines.peers import PEER_SILENT
+from lacewingcourse.core.pipelines.peers import PEER_SILENCE_TIMEOUT
 from lacewingcourse.core.pipelines.permits import Grant, PermitIssuer, issuer_of
 from lacewingcourse.core.pipelines.send_limits import SendLimits
 from lacewingcourse.testing.limit_check import LimitCheck
@@ -213,7 +213,7 @@
         old = self.entries[name]
         old.is_up = False
         self.check.excuse(name, self.now, self.now + away)
-        self.at(self.now + PEER_SILENT, lambda: self.notice(name, False))
+        self.at(self.now + PEER_SILENCE_TIMEOUT, lambda: self.notice(name, False))
         self.at(self.now + away, lambda: self.come_back(name))
 
     def come_back(self, name: str) -> None:
--- a/packages/core/tests/pipelines/test_peers.py
+++ b/packages/core/tests/pipelines/test_peers.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from lacewingcourse.core.pipelines.ending import BACK_AFTER, ROTATION_TIME
 from lacewingcourse.core.pipelines.freshness import MIN_RETRY_DELAY, Freshness
 from lacewingcourse.core.pipelines.peers import (
-    PEER_FORGOTTEN,
-    PEER_SILENT,
-    PeerBook,
+    PEER_RETENTION,
+    PEER_SILENCE_TIMEOUT,
+    PeerTable,
 )
+from lacewingcourse.core.pipelines.restart_estimate import READY_AFTER, ROTATION_TIME
 
 
-def book_of(name: str, others: str, heard_at: float) -> PeerBook:
+def book_of(name: str, others: str, heard_at: float) -> PeerTable:
     """Return the book of an entry that heard others."""
-    book = PeerBook(name)
+    book = PeerTable(name)
     for other in others:
-        book.hear(other, f"{other}:1", False, heard_at)
+        book.record_message(other, f"{other}:1", False, heard_at)
     return book
 
 
@@ -26,28 +26,28 @@
 
 def test_a_silent_entry_gives_up_its_rank():
     book = book_of("c", "ab", 0.0)
-    book.hear("b", "b:1", False, PEER_SILENT)
-    assert book.rank(PEER_SILENT + 0.1) == 1
+    book.record_message("b", "b:1", False, PEER_SILENCE_TIMEOUT)
+    assert book.rank(PEER_SILENCE_TIMEOUT + 0.1) == 1
 
 
 def test_a_leaving_entry_gives_up_its_rank():
     book = book_of("b", "a", 0.0)
-    book.hear("a", "a:1", True, 0.1)
+    book.record_message("a", "a:1", True, 0.1)
     assert book.rank(0.1) == 0
 
 
 def test_of_two_entries_one_speaks():
-    assert [p.name for p in book_of("b", "ac", 0.0).partners(0.1)] == ["c"]
+    assert [p.name for p in book_of("b", "ac", 0.0).gossip_targets(0.1)] == ["c"]
 
 
 def test_an_entry_that_went_silent_is_spoken_to():
     book = book_of("b", "ac", 0.0)
-    assert [p.name for p in book.partners(PEER_SILENT)] == ["c", "a"]
+    assert [p.name for p in book.gossip_targets(PEER_SILENCE_TIMEOUT)] == ["c", "a"]
 
 
 def test_entries_are_forgotten_in_the_end():
     book = book_of("b", "a", 0.0)
-    book.expire(PEER_FORGOTTEN + 1)
+    book.expire(PEER_RETENTION + 1)
     assert book.peers == {}
 
 
@@ -86,24 +86,24 @@
 
 def test_another_entry_takes_connections_at_once_while_one_is_not_ending():
     book = book_of("a", "bc", 0.0)
-    book.hear("b", "b:1", True, 0.1)
+    book.record_message("b", "b:1", True, 0.1)
     assert book.ready_in(8.0, now=0.2) == 0.0
 
 
 def test_while_all_are_ending_the_first_that_was_asked_to_is_waited_for():
     """Callers had been sent back at once, to entries that refused them again."""
     book = book_of("a", "bc", 0.0)
-    book.hear("b", "b:1", True, 2.0)
-    book.hear("c", "c:1", True, 4.0)
-    book.hear("b", "b:1", True, 5.0)
-    assert book.ready_in(8.0, now=5.0) == 2.0 + 8.0 + BACK_AFTER - 5.0
+    book.record_message("b", "b:1", True, 2.0)
+    book.record_message("c", "c:1", True, 4.0)
+    book.record_message("b", "b:1", True, 5.0)
+    assert book.ready_in(8.0, now=5.0) == 2.0 + 8.0 + READY_AFTER - 5.0
 
 
 def test_an_entry_that_was_restarted_is_ending_no_more():
     book = book_of("a", "b", 0.0)
-    book.hear("b", "b:1", True, 2.0)
-    book.hear("b", "b:1", False, 10.5)
+    book.record_message("b", "b:1", True, 2.0)
+    book.record_message("b", "b:1", False, 10.5)
     assert book.ready_in(8.0, now=10.6) == 10.5 + ROTATION_TIME - 10.6
-    book.hear("b", "b:1", False, 10.5 + ROTATION_TIME)
+    book.record_message("b", "b:1", False, 10.5 + ROTATION_TIME)
     assert book.ready_in(8.0, now=10.5 + ROTATION_TIME) == 0.0
     assert book.peers["b"].leaving_since is None
--- a/packages/core/tests/pipelines/version_fleet.py
+++ b/packages/core/tests/pipelines/version_fleet.py
@@ -10,7 +10,7 @@
 import attrs
 
 from lacewingcourse.core.pipelines.freshness import PropagationBudget
-from lacewingcourse.core.pipelines.peers import PeerBook
+from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.stamps import Echo, StampTable
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
 
     name: str
     zone: str
-    book: PeerBook
+    book: PeerTable
     freshness: Freshness
     stamps: StampTable
     version: int = 0
@@ -133,13 +133,15 @@
                 self.add(f"{zone}-{index:02}", zone)
         for entry in self.entries.values():
             for other in self.entries.values():
-                entry.book.hear(other.name, other.name, False, 0.0, other.zone)
+                entry.book.record_message(
+                    other.name, other.name, False, 0.0, other.zone
+                )
             self.at(self.rng.uniform(0, ROUND), lambda e=entry: self.speak(e))
             self.at(self.rng.uniform(0, LOOK), lambda e=entry: self.look(e))
 
     def add(self, name: str, zone: str) -> None:
         """Add an entry."""
-        book, freshness = PeerBook(name, zone), self.budget.freshness()
+        book, freshness = PeerTable(name, zone), self.budget.freshness()
         self.entries[name] = VersionEntry(name, zone, book, freshness, StampTable(0.0))
 
     def at(self, time: float, call: Callable[[], None]) -> None:
@@ -283,7 +285,7 @@
 
     def tell_all(self, entry: VersionEntry, urgent: bool) -> None:
         """Let an entry speak with those whose turn it is."""
-        for peer in entry.book.partners(self.now, urgent):
+        for peer in entry.book.gossip_targets(self.now, urgent):
             other = self.entries[peer.name]
             news = self.news(entry, other)
             arrives = self.now + self.delay(entry, other)
@@ -291,7 +293,7 @@
 
     def news(self, entry: VersionEntry, receiver: VersionEntry) -> News:
         """Return what an entry tells another one now."""
-        told = entry.book.told_to(receiver.zone, self.now)
+        told = entry.book.peers_to_report(receiver.zone, self.now)
         return News(
             entry.name,
             entry.version,
@@ -306,11 +308,11 @@
         """Let an entry take news, and answer them if it was asked."""
         sender = self.entries[news.sender]
         book = entry.book
-        book.hear(
+        book.record_message(
             sender.name, sender.name, False, self.now, sender.zone, reads=news.reads
         )
         for name, age in news.peers.items():
-            book.hear_of(name, name, self.entries[name].zone, age, self.now)
+            book.record_report(name, name, self.entries[name].zone, age, self.now)
         entry.stamps.receive(news.sender, news.stamp, self.now)
         if news.version == entry.version:
             composed_at = self.composed_at(entry, news)
--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -14,7 +14,7 @@
 from lacewingcourse.core.pipelines.admission_queue import WAITS
 from lacewingcourse.core.pipelines.freshness import RETRY_DELAYS, PropagationBudget
 from lacewingcourse.core.pipelines.limit_sharing import LIMIT_SHARINGS
-from lacewingcourse.core.pipelines.peers import PeerBook
+from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.permits import PermitIssuer
 from lacewingcourse.core.pipelines.retry_budget import RETRY_SHARINGS, RetryBudget
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
@@ -98,7 +98,7 @@
             LAST_REQUESTS.get(settings.last_requests),
         )
         self.pool = ConnectionPool()
-        self.book = PeerBook(settings.name, settings.zone)
+        self.book = PeerTable(settings.name, settings.zone)
         self.budget = RetryBudget(
             settings.bounds.retry_ratio,
             settings.bounds.retry_window,
--- a/packages/relay/src/lacewingcourse/relay/endings.py
+++ b/packages/relay/src/lacewingcourse/relay/endings.py
@@ -6,13 +6,13 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.ending import expected_end
+from lacewingcourse.core.pipelines.restart_estimate import expected_end
 from lacewingcourse.relay.leaving import BALANCER_DELAY
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lacewingcourse.core.pipelines.peers import PeerBook
+    from lacewingcourse.core.pipelines.peers import PeerTable
     from lacewingcourse.relay.caller import CallerConnections, CallerExchange
     from lacewingcourse.relay.gateway import Gateway
     from lacewingcourse.relay.job import Job
@@ -41,7 +41,7 @@
     readiness: Readiness
     callers: CallerConnections
     gateway: Gateway
-    book: PeerBook
+    book: PeerTable
     clock: Callable[[], float]
 
     def ends_in(self) -> float | None:
@@ -60,7 +60,7 @@
         """Return what those seconds rest on, for a log line."""
         now = self.clock()
         grace = self.readiness.grace
-        first = self.book.first_back(grace, now, self._own_end(now))
+        first = self.book.first_ready(grace, now, self._own_end(now))
         return ANOTHER if first is None else first.describe(now)
 
     def _own_end(self, now: float) -> float | None:
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lacewingcourse.core.pipelines.peers import PeerBook
+    from lacewingcourse.core.pipelines.peers import PeerTable
     from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.duty_holder import DutyHolder
@@ -61,7 +61,7 @@
 
     name: str
     address: str
-    book: PeerBook
+    book: PeerTable
     beliefs: Beliefs
     configuration: ConfigurationFollower
     directory: DirectoryFollower
@@ -122,7 +122,7 @@
             crashes=self.beliefs.crashes.losses(now, reach),
             peers={
                 peer.name: (peer.address, peer.zone, round(now - peer.heard_at, 3))
-                for peer in self.book.told_to(zone, now)
+                for peer in self.book.peers_to_report(zone, now)
             },
             counts=self._counts(scope, now),
             holder=lease.holder if lease else "",
@@ -160,7 +160,7 @@
         now = self.clock()
         self.stamps.receive(news.name, news.stamp, self.boot_clock())
         was_alive = news.name in self.book.alive(now)
-        self.book.hear(
+        self.book.record_message(
             news.name,
             news.address,
             news.leaving,
@@ -175,7 +175,7 @@
         on_way = self.time_on_way(news)
         on_way = on_way if isfinite(on_way) else 0.0
         for name, (address, zone, age) in news.peers.items():
-            self.book.hear_of(name, address, zone, on_way + age, now)
+            self.book.record_report(name, address, zone, on_way + age, now)
         self._take_counts(news, now)
         self._take_loads(news, now)
         near = news.zone == self.book.zone and news.scope is Scope.OWN
--- a/packages/relay/src/lacewingcourse/relay/housekeeping.py
+++ b/packages/relay/src/lacewingcourse/relay/housekeeping.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lacewingcourse.core.pipelines.peers import PeerBook
+    from lacewingcourse.core.pipelines.peers import PeerTable
     from lacewingcourse.core.pipelines.permits import PermitIssuer
     from lacewingcourse.core.pipelines.retry_budget import RetryBudget
     from lacewingcourse.relay.beliefs import Beliefs
@@ -40,7 +40,7 @@
 
     beliefs: Beliefs
     pool: ConnectionPool
-    book: PeerBook
+    book: PeerTable
     budget: RetryBudget
     issuer: PermitIssuer
     clock: Callable[[], float]
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
     from random import Random
 
-    from lacewingcourse.core.pipelines.peers import PeerBook
+    from lacewingcourse.core.pipelines.peers import PeerTable
     from lacewingcourse.core.pipelines.routing import Limits
     from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.calls import CallForwarder
@@ -43,7 +43,7 @@
         calls: CallForwarder,
         streams: StreamForwarder,
         readiness: Readiness,
-        book: PeerBook,
+        book: PeerTable,
         log: DecisionLog,
         clock: Callable[[], float],
         rng: Random,
--- a/packages/relay/src/lacewingcourse/relay/limit_permits.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_permits.py
@@ -25,7 +25,7 @@
     from collections.abc import Awaitable, Callable
     from random import Random
 
-    from lacewingcourse.core.pipelines.peers import PeerBook
+    from lacewingcourse.core.pipelines.peers import PeerTable
     from lacewingcourse.core.pipelines.permits import PermitIssuer
     from lacewingcourse.core.pipelines.send_limits import SendLimits
     from lacewingcourse.relay.decisions import DecisionLog
@@ -59,7 +59,7 @@
 
     limits: SendLimits
     issuer: PermitIssuer
-    book: PeerBook
+    book: PeerTable
     fetch: Callable[[str, str, bytes], Awaitable[bytes | None]]
     clock: Callable[[], float]
     rng: Random
--- a/packages/relay/src/lacewingcourse/relay/peers.py
+++ b/packages/relay/src/lacewingcourse/relay/peers.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lacewingcourse.core.pipelines.peers import PeerBook
+    from lacewingcourse.core.pipelines.peers import PeerTable
     from lacewingcourse.relay.gossip import Gossip
     from lacewingcourse.relay.ports import PeerRegistry
 
@@ -97,7 +97,7 @@
     packed: PackedVersion | None = None
 
     @property
-    def book(self) -> PeerBook:
+    def book(self) -> PeerTable:
         """The other entries."""
         return self.gossip.book
 
@@ -117,7 +117,7 @@
             self.gossip.stamps.keep_only(set(self.book.peers))
             urgent = self.wake.is_set()
             self.wake.clear()
-            for peer in self.book.partners(now, urgent):
+            for peer in self.book.gossip_targets(now, urgent):
                 self._begin(peer.address, peer.name, peer.zone)
             self._try_seeds()
             try:
@@ -148,7 +148,7 @@
             return
         now = self.clock()
         for name, address in found.items():
-            self.book.learn(name, address, now)
+            self.book.set_address(name, address, now)
 
     def tell_now(self) -> None:
         """Tell the others at once, since something changed that binds them."""
--- a/packages/relay/src/lacewingcourse/relay/retry_loans.py
+++ b/packages/relay/src/lacewingcourse/relay/retry_loans.py
@@ -17,7 +17,7 @@
     from collections.abc import Awaitable, Callable
     from random import Random
 
-    from lacewingcourse.core.pipelines.peers import Peer, PeerBook
+    from lacewingcourse.core.pipelines.peers import Peer, PeerTable
     from lacewingcourse.core.pipelines.retry_budget import RetryBudget
     from lacewingcourse.relay.decisions import DecisionLog
 
@@ -51,7 +51,7 @@
     """
 
     budget: RetryBudget
-    book: PeerBook
+    book: PeerTable
     fetch: Callable[[str, str, bytes], Awaitable[bytes | None]]
     clock: Callable[[], float]
     rng: Random
--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from lacewingcourse.core.pipelines.freshness import Freshness
-from lacewingcourse.core.pipelines.peers import PeerBook, Role
+from lacewingcourse.core.pipelines.peers import PeerTable, Role
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.gossip import Gossip
 from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
@@ -22,7 +22,7 @@
         return self.now
 
 
-def no_holder(name: str, book: PeerBook, clock: Clock) -> SimpleNamespace:
+def no_holder(name: str, book: PeerTable, clock: Clock) -> SimpleNamespace:
     """Return what stands for the holder of the duty where no test looks at it."""
     return SimpleNamespace(lease=None, released=0, hear=lambda *news: None)
 
@@ -47,7 +47,7 @@
                 self.add(f"{zone}-{number:02}", zone)
         first = min(self.entries)
         for entry in self.entries.values():
-            entry.book.learn(first, first, 0.0)
+            entry.book.set_address(first, first, 0.0)
 
     def add(self, name: str, zone: str) -> Gossip:
         """Add an entry that knows nobody."""
@@ -59,7 +59,7 @@
             belief=lambda *args, **fields: None,
             limit=lambda *fields: None,
         )
-        book = PeerBook(name, zone)
+        book = PeerTable(name, zone)
         self.entries[name] = Gossip(
             name,
             name,
@@ -91,7 +91,7 @@
             for entry in list(self.entries.values()):
                 entry.book.expire(self.clock.now)
                 entry.beliefs.loads.expire(self.clock.now)
-                for peer in entry.book.partners(self.clock.now):
+                for peer in entry.book.gossip_targets(self.clock.now):
                     self.exchange(entry, peer.name, peer.zone)
 
     def roles(self) -> dict[str, Role]:
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/restarts.py
@@ -10,9 +10,9 @@
 import attrs
 from tornado.httputil import HTTPHeaders
 
-from lacewingcourse.core.pipelines.ending import RESTART_TIME, START_TIME
 from lacewingcourse.core.pipelines.freshness import Freshness
-from lacewingcourse.core.pipelines.peers import PeerBook
+from lacewingcourse.core.pipelines.peers import PeerTable
+from lacewingcourse.core.pipelines.restart_estimate import RESTART_TIME, STARTUP_TIME
 from lacewingcourse.core.pipelines.routing import Organisation, RetrySafety
 from lacewingcourse.core.pipelines.shape import EngineShape
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
@@ -177,9 +177,9 @@
                 b"",
             ),
         )
-        book = PeerBook(name)
+        book = PeerTable(name)
         for other in self.names:
-            book.learn(other, other, self.clock())
+            book.set_address(other, other, self.clock())
         gateway = Gateway(
             beliefs,
             codec,
@@ -216,7 +216,7 @@
         """Speak with the other entries as long as a process runs."""
         await asyncio.sleep(self.rng.uniform(0.0, PERIOD))
         while self.processes.get(name) is process:
-            for peer in process.gossip.book.partners(self.clock()):
+            for peer in process.gossip.book.gossip_targets(self.clock()):
                 asyncio.ensure_future(self._exchange(process, peer.name))
             await asyncio.sleep(PERIOD)
 
@@ -240,7 +240,7 @@
         await process.departure.carry_out()
         calls.cancel()
         del self.processes[name]
-        await asyncio.sleep(self.rng.uniform(LEAST_BACK, RESTART_TIME + START_TIME))
+        await asyncio.sleep(self.rng.uniform(LEAST_BACK, RESTART_TIME + STARTUP_TIME))
         self.start(name)
         self.back[name] = self.clock()
 
--- a/packages/relay/tests/relay/test_endings.py
+++ b/packages/relay/tests/relay/test_endings.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lacewingcourse.core.errors import ErrorKind, Refusal
-from lacewingcourse.core.pipelines.peers import PeerBook
+from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.routing import RetrySafety
 from lacewingcourse.relay import decisions
 from lacewingcourse.relay.beliefs import Beliefs
@@ -63,7 +63,7 @@
             beliefs=beliefs, jobs={caller: job} if routed else {}, serving=set()
         )
         callers = SimpleNamespace(open={caller})
-        return Endings(readiness, callers, gateway, PeerBook("a"), lambda: NOW)
+        return Endings(readiness, callers, gateway, PeerTable("a"), lambda: NOW)
 
     return make
 
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lacewingcourse.core.pipelines.peers import MEMBER_RANK, PEER_SILENT, Role
+from lacewingcourse.core.pipelines.peers import MEMBER_RANK, PEER_SILENCE_TIMEOUT, Role
 from lacewingcourse.core.pipelines.request_limits import NO_LIMIT
 from lacewingcourse.core.pipelines.retry_budget import COUNTING_TIME
 from lacewingcourse.relay.peers import PERIOD, REGISTRY_PERIOD
@@ -143,7 +143,7 @@
 def test_entries_find_new_hubs_after_those_of_a_zone_are_gone(large):
     for name in ("b-00", "b-01"):
         del large.entries[name]
-    large.rounds(int(3 * PEER_SILENT / PERIOD))
+    large.rounds(int(3 * PEER_SILENCE_TIMEOUT / PERIOD))
     hubs = {name for name, role in large.roles().items() if role is Role.HUB}
     assert {"b-02", "b-03"} <= hubs
     give_loads(large)
--- a/packages/relay/tests/relay/test_housekeeping.py
+++ b/packages/relay/tests/relay/test_housekeeping.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lacewingcourse.core.pipelines.peers import PeerBook
+from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.permits import PermitIssuer
 from lacewingcourse.core.pipelines.retry_budget import RetryBudget
 from lacewingcourse.core.pipelines.speed import ESTIMATE_KEPT
@@ -22,7 +22,7 @@
 
     def make(on_thaw=lambda slept: None):
         budget = RetryBudget(0.2, 10.0, 200.0)
-        book = PeerBook("a")
+        book = PeerTable("a")
         pool = ConnectionPool()
         issuer = PermitIssuer("a")
         return Housekeeping(Beliefs(), pool, book, budget, issuer, lambda: 0.0, on_thaw)
@@ -44,7 +44,7 @@
 def test_the_budget_is_shared_by_the_most_entries_that_were_alive(make_house):
     house = make_house()
     for name in "bc":
-        house.book.hear(name, f"{name}:1", False, 0.0)
+        house.book.record_message(name, f"{name}:1", False, 0.0)
     house.forget(0.1)
     house.forget(100.0)
     assert house.budget.entries == 3
@@ -54,8 +54,8 @@
     make_house,
 ):
     house = make_house()
-    house.book.hear("b", "b:1", True, 0.0)
-    house.book.learn("c", "c:1", 0.0)
+    house.book.record_message("b", "b:1", True, 0.0)
+    house.book.set_address("c", "c:1", 0.0)
     house.forget(0.1)
     assert (house.budget.known, house.budget.entries) == (3, 1)
     house.book.expire(100.0)
--- a/packages/relay/tests/relay/test_limit_permits.py
+++ b/packages/relay/tests/relay/test_limit_permits.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lacewingcourse.core.pipelines.peers import PeerBook
+from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.permits import PermitIssuer, issuer_of
 from lacewingcourse.core.pipelines.send_limits import SendLimits
 from lacewingcourse.relay.limit_permits import PERMITS_PATH, PermitExchange
@@ -44,9 +44,9 @@
         self.exchanges = {name: self.make(name) for name in NAMES}
 
     def make(self, name: str) -> PermitExchange:
-        book = PeerBook(name)
+        book = PeerTable(name)
         for other in NAMES:
-            book.hear(other, other, False, 0.0)
+            book.record_message(other, other, False, 0.0)
         limits = SendLimits()
         exchange = PermitExchange(
             limits,
--- a/packages/relay/tests/relay/test_news_age.py
+++ b/packages/relay/tests/relay/test_news_age.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lacewingcourse.core.pipelines.freshness import Freshness
-from lacewingcourse.core.pipelines.peers import PEER_SILENT
+from lacewingcourse.core.pipelines.peers import PEER_SILENCE_TIMEOUT
 from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
 from lacewingcourse.relay.peers import PERIOD, PeerExchange
 
@@ -83,8 +83,8 @@
     network.rounds(2)
     teller = network.entries[TELLER]
     now = network.clock()
-    teller.book.hear("a-02", "a-02", False, now, "a")
+    teller.book.record_message("a-02", "a-02", False, now, "a")
     news = teller.news_for(TOLD, "a")
-    network.clock.now += PEER_SILENT + PERIOD
+    network.clock.now += PEER_SILENCE_TIMEOUT + PERIOD
     deliver(network, news)
     assert "a-02" not in network.entries[TOLD].book.alive(network.clock())
--- a/packages/relay/tests/relay/test_retry_loans.py
+++ b/packages/relay/tests/relay/test_retry_loans.py
@@ -14,7 +14,7 @@
 import attrs
 import pytest
 
-from lacewingcourse.core.pipelines.peers import PeerBook
+from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.retry_budget import (
     SAFETY_SHARE,
     RetryBudget,
@@ -62,10 +62,10 @@
         clock = asyncio.get_running_loop().time
         names = [f"e{number:02}" for number in range(count)]
         for name in names:
-            book = PeerBook(name)
+            book = PeerTable(name)
             for other in names:
                 if other != name:
-                    book.hear(other, other, False, 1e9)
+                    book.record_message(other, other, False, 1e9)
             loans = RetryLoans(
                 RetryBudget(0.2, WINDOW, SLACK, count),
                 book,
