--- a/packages/core/src/lacewingcourse/core/pipelines/crashes.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/crashes.py
@@ -6,15 +6,15 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.suspects import Reach
+from lacewingcourse.core.pipelines.suspects import ObservationScope
 
 #: Endpoints that must have been lost while they ran a request before it is refused.
 #: One or two are lost beside any request now and then.
-CRASHES_TO_REFUSE = 3
+CRASH_THRESHOLD = 3
 #: Seconds for which a crash counts, and for which a refusal therefore lasts.
-CRASH_KEPT = 60.0
+CRASH_RETENTION = 60.0
 #: Requests that are remembered at the most.
-MOST_REQUESTS = 2_000
+MAX_REQUESTS = 2_000
 #: Bytes of a fingerprint.
 FINGERPRINT_BYTES = 12
 
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class CrashBook:
+class CrashHistory:
     """Which endpoints were lost under which requests.
 
     Engines run requests beside one another, so a loss speaks against all that ran
@@ -41,22 +41,22 @@
             entry saw, that one of its zone saw, and that others saw.
     """
 
-    books: dict[Reach, dict[str, dict[str, float]]] = attrs.field(
-        factory=lambda: {reach: {} for reach in Reach}
+    records: dict[ObservationScope, dict[str, dict[str, float]]] = attrs.field(
+        factory=lambda: {scope: {} for scope in ObservationScope}
     )
 
-    def strike(self, fingerprint: str, endpoint: str, now: float) -> bool:
+    def record_loss(self, fingerprint: str, endpoint: str, now: float) -> bool:
         """Note a loss under a request; tell whether it is refused from now on."""
-        _note(self.books[Reach.OWN], fingerprint, endpoint, now)
+        _record_loss(self.records[ObservationScope.OWN], fingerprint, endpoint, now)
         return self.is_refused(fingerprint, now)
 
     def clear(self, fingerprint: str) -> None:
         """Forget a request that ran to its end."""
-        for book in self.books.values():
-            book.pop(fingerprint, None)
+        for record in self.records.values():
+            record.pop(fingerprint, None)
 
     def from_peer(
-        self, losses: dict[str, dict[str, float]], now: float, near: bool = True
+        self, losses: dict[str, dict[str, float]], now: float, same_zone: bool = True
     ) -> None:
         """Take the losses that a peer told.
 
@@ -65,17 +65,19 @@
             now: Present time in seconds.
             near: Whether an entry of this one's availability zone saw them.
         """
-        book = self.books[Reach.ZONE if near else Reach.ALL]
+        record = self.records[
+            ObservationScope.ZONE if same_zone else ObservationScope.ALL
+        ]
         for fingerprint, endpoints in losses.items():
             for endpoint, age in endpoints.items():
-                _note(book, fingerprint, endpoint, now - age)
+                _record_loss(record, fingerprint, endpoint, now - age)
 
     def is_refused(self, fingerprint: str, now: float) -> bool:
         """Tell whether a request is refused."""
-        return len(self._lost(fingerprint, now)) >= CRASHES_TO_REFUSE
+        return len(self._lost_endpoints(fingerprint, now)) >= CRASH_THRESHOLD
 
     def losses(
-        self, now: float, reach: Reach = Reach.OWN
+        self, now: float, scope: ObservationScope = ObservationScope.OWN
     ) -> dict[str, dict[str, float]]:
         """Return the seconds since each loss, by fingerprint and endpoint.
 
@@ -84,34 +86,34 @@
             reach: From how far away the losses may be.
         """
         found: dict[str, dict[str, float]] = {}
-        for seen, book in self.books.items():
-            for fingerprint, losses in book.items() if seen <= reach else ():
-                ages = {e: round(now - losses[e], 3) for e in _fresh(losses, now)}
+        for observed, record in self.records.items():
+            for fingerprint, losses in record.items() if observed <= scope else ():
+                ages = {e: round(now - losses[e], 3) for e in _recent(losses, now)}
                 if ages:
                     found.setdefault(fingerprint, {}).update(ages)
         return found
 
     def expire(self, now: float) -> None:
         """Forget what counts no longer."""
-        for book in self.books.values():
-            for fingerprint, losses in list(book.items()):
-                if not _fresh(losses, now):
-                    del book[fingerprint]
+        for record in self.records.values():
+            for fingerprint, losses in list(record.items()):
+                if not _recent(losses, now):
+                    del record[fingerprint]
 
-    def _lost(self, fingerprint: str, now: float) -> set[str]:
-        books = self.books.values()
-        return set().union(*(_fresh(b.get(fingerprint, {}), now) for b in books))
+    def _lost_endpoints(self, fingerprint: str, now: float) -> set[str]:
+        records = self.records.values()
+        return set().union(*(_recent(b.get(fingerprint, {}), now) for b in records))
 
 
-def _note(
-    book: dict[str, dict[str, float]], fingerprint: str, endpoint: str, now: float
+def _record_loss(
+    record: dict[str, dict[str, float]], fingerprint: str, endpoint: str, now: float
 ) -> None:
     """Note a loss, and bound what is remembered."""
-    book.setdefault(fingerprint, {}).setdefault(endpoint, now)
-    while len(book) > MOST_REQUESTS:
-        del book[next(iter(book))]
+    record.setdefault(fingerprint, {}).setdefault(endpoint, now)
+    while len(record) > MAX_REQUESTS:
+        del record[next(iter(record))]
 
 
-def _fresh(losses: dict[str, float], now: float) -> set[str]:
+def _recent(losses: dict[str, float], now: float) -> set[str]:
     """Return the endpoints whose loss still counts."""
-    return {endpoint for endpoint, at in losses.items() if now - at < CRASH_KEPT}
+    return {endpoint for endpoint, at in losses.items() if now - at < CRASH_RETENTION}
--- a/packages/core/src/lacewingcourse/core/pipelines/suspects.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/suspects.py
@@ -10,12 +10,12 @@
 #: its directory entry after three heartbeats; until then its requests would stall.
 FIRST_EXCLUSION = 2.0
 #: Seconds of the longest exclusion.
-LONGEST_EXCLUSION = 8.0
+MAX_EXCLUSION = 8.0
 #: Seconds without a failure after which exclusions start short again.
-FORGIVEN_AFTER = 10.0
+FAILURE_RESET_TIME = 10.0
 #: Seconds below which the rest of a peer's suspicion is not taken over. Otherwise
 #: entries that tell one another would keep it alive between them.
-LEAST_REMAINING = 0.3
+MIN_REMAINING = 0.3
 #: Seconds for which those who were told of a failure wait beyond the one who saw it. An
 #: endpoint that still rejects is then found out by one entry and not by all at once.
 RECHECK_DELAY = 0.5
@@ -25,7 +25,7 @@
 #: Share of its memory from which an endpoint that rejects may just be full. What it
 #: holds is known but for answers that outgrow their estimate and what peers sent just
 #: now, so dead ones are found above it too and have to be asked.
-FULL_SHARE = 0.6
+FULL_THRESHOLD = 0.6
 
 
 def is_full(misdirected: bool, filled: float) -> bool:
@@ -40,10 +40,10 @@
         misdirected: Whether it does not hold the layers that it was asked for.
         filled: Share of its memory that is believed to be taken.
     """
-    return not misdirected and filled >= FULL_SHARE
+    return not misdirected and filled >= FULL_THRESHOLD
 
 
-class Reach(IntEnum):
+class ObservationScope(IntEnum):
     """How far from where it was seen something is told."""
 
     OWN = 0
@@ -70,7 +70,7 @@
     failures: int
     failed_at: float
     reason: str
-    reach: Reach = Reach.OWN
+    scope: ObservationScope = ObservationScope.OWN
     silent: bool = False
 
 
@@ -97,12 +97,12 @@
         """
         known = self.members.get(endpoint)
         failures = 1
-        if known is not None and now - known.failed_at < FORGIVEN_AFTER:
+        if known is not None and now - known.failed_at < FAILURE_RESET_TIME:
             if now < known.until:
                 known.silent = known.silent or silent
                 return known
             failures = known.failures + 1
-        length = min(LONGEST_EXCLUSION, FIRST_EXCLUSION * 2 ** (failures - 1))
+        length = min(MAX_EXCLUSION, FIRST_EXCLUSION * 2 ** (failures - 1))
         found = Suspicion(now + length, failures, now, reason, silent=silent)
         self.members[endpoint] = found
         return found
@@ -112,7 +112,7 @@
         endpoint: str,
         remaining: float,
         now: float,
-        near: bool = True,
+        same_zone: bool = True,
         silent: bool = False,
     ) -> None:
         """Leave out an endpoint that a peer leaves out.
@@ -125,20 +125,20 @@
             silent: Whether the endpoint does not answer at all.
         """
         known = self.members.get(endpoint)
-        if remaining < LEAST_REMAINING:
+        if remaining < MIN_REMAINING:
             return
-        until = now + min(remaining, LONGEST_EXCLUSION)
+        until = now + min(remaining, MAX_EXCLUSION)
         if known is not None and known.until >= now:
             known.silent = known.silent or silent
             if until > known.until + MIN_EXTENSION:
                 known.until = until + RECHECK_DELAY
-                known.failures = max(known.failures, _failures_of(remaining))
+                known.failures = max(known.failures, _failures_for(remaining))
             return
-        reach = Reach.ZONE if near else Reach.ALL
+        scope = ObservationScope.ZONE if same_zone else ObservationScope.ALL
         reason = "told by a peer"
-        failures = _failures_of(remaining)
+        failures = _failures_for(remaining)
         until += RECHECK_DELAY
-        self.members[endpoint] = Suspicion(until, failures, now, reason, reach, silent)
+        self.members[endpoint] = Suspicion(until, failures, now, reason, scope, silent)
 
     def excluded(self, now: float) -> set[str]:
         """Return the endpoints that are left out."""
@@ -157,7 +157,9 @@
             if found.silent and found.until > now and found.failed_at >= since
         }
 
-    def remaining(self, now: float, reach: Reach = Reach.OWN) -> dict[str, float]:
+    def remaining(
+        self, now: float, scope: ObservationScope = ObservationScope.OWN
+    ) -> dict[str, float]:
         """Return the seconds for which endpoints are left out.
 
         Args:
@@ -167,20 +169,20 @@
         return {
             name: round(found.until - now, 3)
             for name, found in self.members.items()
-            if found.reach <= reach and found.until > now
+            if found.scope <= scope and found.until > now
         }
 
     def expire(self, now: float) -> None:
         """Forget what is long over."""
         for name, found in list(self.members.items()):
-            if now - found.failed_at > FORGIVEN_AFTER and found.until < now:
+            if now - found.failed_at > FAILURE_RESET_TIME and found.until < now:
                 del self.members[name]
 
 
-def _failures_of(remaining: float) -> int:
+def _failures_for(remaining: float) -> int:
     """Return the least failures in succession after which so much time remains."""
     failures, length = 1, FIRST_EXCLUSION
-    while length < min(remaining, LONGEST_EXCLUSION):
+    while length < min(remaining, MAX_EXCLUSION):
         failures += 1
         length *= 2
     return failures
--- a/packages/core/tests/pipelines/test_suspects.py
+++ b/packages/core/tests/pipelines/test_suspects.py
@@ -102,9 +102,9 @@
     other.suspect("a", "reset", now=0.05)
     now = 0.1
     while now < 20.0 and (one.excluded(now) or other.excluded(now)):
-        for teller, listener in ((one, other), (other, one)):
-            for endpoint, remaining in teller.remaining(now).items():
-                listener.from_peer(endpoint, remaining, now + delay)
+        for sender, receiver in ((one, other), (other, one)):
+            for endpoint, remaining in sender.remaining(now).items():
+                receiver.from_peer(endpoint, remaining, now + delay)
         now += 0.2
     assert now <= FIRST_EXCLUSION + 2 * RECHECK_DELAY
 
@@ -115,20 +115,20 @@
     Every entry has a request each 0.1 seconds, and hears of what others saw after some
     time.
     """
-    books = [Suspects() for _ in range(entries)]
+    tables = [Suspects() for _ in range(entries)]
     due: list[tuple[float, int, float]] = []
     rejected = 0
     for step in range(int(seconds * 100)):
         now = step / 100
-        for at, teller, remaining in [d for d in due if d[0] <= now]:
-            due.remove((at, teller, remaining))
-            for number, book in enumerate(books):
-                if number != teller:
-                    book.from_peer("a", remaining - news, now, near=False)
-        for number, book in enumerate(books):
-            if step % 10 == number % 10 and "a" not in book.excluded(now):
+        for at, sender, remaining in [d for d in due if d[0] <= now]:
+            due.remove((at, sender, remaining))
+            for number, table in enumerate(tables):
+                if number != sender:
+                    table.from_peer("a", remaining - news, now, same_zone=False)
+        for number, table in enumerate(tables):
+            if step % 10 == number % 10 and "a" not in table.excluded(now):
                 rejected += 1
-                found = book.suspect("a", "rejected with 503", now)
+                found = table.suspect("a", "rejected with 503", now)
                 due.append((now + news, number, found.until - now))
     return rejected
 
--- a/packages/relay/src/lacewingcourse/relay/beliefs.py
+++ b/packages/relay/src/lacewingcourse/relay/beliefs.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lacewingcourse.core.pipelines.choice import PathChooser
-from lacewingcourse.core.pipelines.crashes import CrashBook
+from lacewingcourse.core.pipelines.crashes import CrashHistory
 from lacewingcourse.core.pipelines.durations import Durations
 from lacewingcourse.core.pipelines.fleet import Fleet
 from lacewingcourse.core.pipelines.links import LinkUsage
@@ -73,7 +73,7 @@
     links: LinkUsage = attrs.field(factory=LinkUsage)
     suspects: Suspects = attrs.field(factory=Suspects)
     speeds: SpeedEstimator = attrs.field(factory=SpeedEstimator)
-    crashes: CrashBook = attrs.field(factory=CrashBook)
+    crashes: CrashHistory = attrs.field(factory=CrashHistory)
     send_limits: SendLimits = attrs.field(factory=SendLimits)
     candidates: dict[str, list[CandidateSet]] = attrs.field(factory=dict)
     durations: Durations = attrs.field(factory=Durations)
--- a/packages/relay/src/lacewingcourse/relay/calls.py
+++ b/packages/relay/src/lacewingcourse/relay/calls.py
@@ -121,7 +121,7 @@
             self.log.lost(job, endpoint.id, result.reason)
             if result.connection_lost:
                 now = self.sender.clock()
-                self.beliefs.crashes.strike(job.fingerprint, endpoint.id, now)
+                self.beliefs.crashes.record_loss(job.fingerprint, endpoint.id, now)
             if not job.may_try_another:
                 return self._failed(job, result)
 
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -10,7 +10,7 @@
 
 from lacewingcourse.core.pipelines.peers import Role
 from lacewingcourse.core.pipelines.stamps import StampTable
-from lacewingcourse.core.pipelines.suspects import Reach
+from lacewingcourse.core.pipelines.suspects import ObservationScope
 from lacewingcourse.relay.peer_messages import PeerNews, Scope, decode_limit, loads_of
 
 if TYPE_CHECKING:
@@ -27,9 +27,9 @@
 OTHERS = "others"
 #: What suspicions and losses reach whom, by what the loads beside them cover.
 REACH_OF_SCOPE = {
-    Scope.OWN: Reach.OWN,
-    Scope.ZONE: Reach.ZONE,
-    Scope.OTHERS: Reach.ALL,
+    Scope.OWN: ObservationScope.OWN,
+    Scope.ZONE: ObservationScope.ZONE,
+    Scope.OTHERS: ObservationScope.ALL,
 }
 
 
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -322,7 +322,7 @@
                 self.on_suspect()
         elif result.first_lost:
             job.avoid.add(path.first.endpoint)
-            self.beliefs.crashes.strike(job.fingerprint, path.first.endpoint, now)
+            self.beliefs.crashes.record_loss(job.fingerprint, path.first.endpoint, now)
         elif result.end is StreamEnd.STALLED:
             if not path.uses(job.avoid):
                 job.avoid.update(part.endpoint for part in path.parts)
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -134,7 +134,7 @@
 def test_losses_under_a_request_reach_all(large):
     for number, name in enumerate(["a-05", "b-05", "c-05"]):
         crashes = large.entries[name].beliefs.crashes
-        crashes.strike("r", f"x{number}", large.clock())
+        crashes.record_loss("r", f"x{number}", large.clock())
     large.rounds(5)
     now = large.clock()
     assert all(e.beliefs.crashes.is_refused("r", now) for e in large.entries.values())
