--- a/packages/core/src/lacewingcourse/core/pipelines/limit_sharing.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/limit_sharing.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lacewingcourse.core.pipelines.permits import (
-    PERMIT_TIME,
+    PERMIT_LIFETIME,
     WINDOW,
     Grant,
     Permit,
@@ -22,9 +22,9 @@
     from collections.abc import Hashable
 
 #: Seconds for which a bucket is kept that nobody uses.
-BUCKET_KEPT = 60.0
+BUCKET_RETENTION = 60.0
 #: Requests that an entry may save up where each has an even share.
-EVEN_BURST = 1.0
+BUCKET_CAPACITY = 1.0
 
 
 class LimitSharing(Protocol):
@@ -36,19 +36,19 @@
 
     entries: int
 
-    def left(self, endpoint: str, rate: float, now: float) -> int:
+    def available(self, endpoint: str, rate: float, now: float) -> int:
         """Return how many requests this entry may send to an endpoint now."""
 
-    def use(self, endpoint: str, rate: float, now: float) -> None:
+    def record_send(self, endpoint: str, rate: float, now: float) -> None:
         """Note a request that is sent to an endpoint, whether it is limited or not."""
 
-    def want(self, endpoint: str, request: Hashable, now: float) -> None:
+    def note_demand(self, endpoint: str, request: Hashable, now: float) -> None:
         """Note that a request was to be sent to an endpoint."""
 
     def next_in(self, endpoint: str, rate: float, now: float) -> float:
         """Return the seconds until a request may be sent, 0 if that is not known."""
 
-    def drop(self, endpoint: str) -> None:
+    def revoke(self, endpoint: str) -> None:
         """Forget what could be sent to an endpoint, since it takes less than before."""
 
     def clear(self) -> None:
@@ -59,11 +59,11 @@
 
 
 #: How entries share what a limited endpoint takes.
-LIMIT_SHARINGS: Registry[type[LimitSharing]] = Registry("sharing of limits")
+LIMIT_SHARING_POLICIES: Registry[type[LimitSharing]] = Registry("sharing of limits")
 
 
 @attrs.define
-class Bucket:
+class TokenBucket:
     """A token bucket.
 
     Attributes:
@@ -72,15 +72,15 @@
     """
 
     level: float
-    filled_at: float
+    refilled_at: float
 
-    def fill(self, rate: float, now: float) -> None:
+    def refill(self, rate: float, now: float) -> None:
         """Add what has come since."""
-        level = self.level + rate * (now - self.filled_at)
-        self.level, self.filled_at = min(EVEN_BURST, level), now
+        level = self.level + rate * (now - self.refilled_at)
+        self.level, self.refilled_at = min(BUCKET_CAPACITY, level), now
 
 
-@LIMIT_SHARINGS.register("even")
+@LIMIT_SHARING_POLICIES.register("even")
 @attrs.define
 class EvenSharing:
     """Each entry has an even share, and asks nobody.
@@ -93,20 +93,20 @@
     """
 
     entries: int = 1
-    buckets: dict[str, Bucket] = attrs.field(factory=dict)
+    buckets: dict[str, TokenBucket] = attrs.field(factory=dict)
 
-    def left(self, endpoint: str, rate: float, now: float) -> int:
+    def available(self, endpoint: str, rate: float, now: float) -> int:
         """Return how many requests this entry may send to an endpoint now."""
-        bucket = self.buckets.setdefault(endpoint, Bucket(0.0, now))
-        bucket.fill(rate / self.entries, now)
+        bucket = self.buckets.setdefault(endpoint, TokenBucket(0.0, now))
+        bucket.refill(rate / self.entries, now)
         return int(bucket.level)
 
-    def use(self, endpoint: str, rate: float, now: float) -> None:
+    def record_send(self, endpoint: str, rate: float, now: float) -> None:
         """Note a request that is sent to an endpoint, whether it is limited or not."""
         if rate != NO_LIMIT:
             self.buckets[endpoint].level -= 1.0
 
-    def want(self, endpoint: str, request: Hashable, now: float) -> None:
+    def note_demand(self, endpoint: str, request: Hashable, now: float) -> None:
         """Note that a request was to be sent to an endpoint."""
 
     def next_in(self, endpoint: str, rate: float, now: float) -> float:
@@ -114,7 +114,7 @@
         bucket = self.buckets.get(endpoint)
         return (1.0 - bucket.level) * self.entries / rate if bucket else 0.0
 
-    def drop(self, endpoint: str) -> None:
+    def revoke(self, endpoint: str) -> None:
         """Forget what could be sent to an endpoint, since it takes less than before."""
         self.buckets.pop(endpoint, None)
 
@@ -125,11 +125,11 @@
     def expire(self, now: float) -> None:
         """Forget what is over."""
         for endpoint, bucket in list(self.buckets.items()):
-            if now - bucket.filled_at > BUCKET_KEPT:
+            if now - bucket.refilled_at > BUCKET_RETENTION:
                 del self.buckets[endpoint]
 
 
-@LIMIT_SHARINGS.register("permits")
+@LIMIT_SHARING_POLICIES.register("permits")
 @attrs.define
 class PermitSharing:
     """Each entry asks the one that gives out an endpoint's permits.
@@ -153,30 +153,32 @@
     reported_to: dict[str, str] = attrs.field(factory=dict)
     sends: dict[str, deque[tuple[float, str]]] = attrs.field(factory=dict)
 
-    def left(self, endpoint: str, rate: float, now: float) -> int:
+    def available(self, endpoint: str, rate: float, now: float) -> int:
         """Return how many requests this entry may send to an endpoint now."""
-        return sum(permit.since <= now for permit in self._valid(endpoint, now))
+        return sum(permit.valid_from <= now for permit in self._valid(endpoint, now))
 
-    def use(self, endpoint: str, rate: float, now: float) -> None:
+    def record_send(self, endpoint: str, rate: float, now: float) -> None:
         """Note a request that is sent to an endpoint, whether it is limited or not."""
         permits = self._valid(endpoint, now) if rate != NO_LIMIT else []
         issuer = permits.pop(0).issuer if permits else ""
         self.sends.setdefault(endpoint, deque()).append((now, issuer))
 
-    def want(self, endpoint: str, request: Hashable, now: float) -> None:
+    def note_demand(self, endpoint: str, request: Hashable, now: float) -> None:
         """Note that a request was to be sent to an endpoint."""
         self.wanted.setdefault(endpoint, {})[request] = now
 
     def next_in(self, endpoint: str, rate: float, now: float) -> float:
         """Return the seconds until a request may be sent, 0 if that is not known."""
         permits = self._valid(endpoint, now)
-        coming = [permit.since - now for permit in permits if permit.since > now]
+        coming = [
+            permit.valid_from - now for permit in permits if permit.valid_from > now
+        ]
         if coming:
             return min(coming)
         return max(0.0, self.retry_at.get(endpoint, now) - now)
 
     def demand(
-        self, entry: str, endpoint: str, asked: str, rate: float, now: float
+        self, entry: str, endpoint: str, issuing_entry: str, rate: float, now: float
     ) -> PermitDemand | None:
         """Return what this entry asks for, None if it need not ask.
 
@@ -190,19 +192,19 @@
             rate: Requests a second that the endpoint takes.
             now: Present time in seconds.
         """
-        count = self._lacking(endpoint, rate, now)
+        count = self._missing_permits(endpoint, rate, now)
         issuer = self.issuers.get(endpoint)
         ages = [
             round(now - at, 3)
             for at, given_by in self.sends.get(endpoint, ())
             if now - at < WINDOW and (not given_by or given_by != issuer)
         ]
-        is_known = not ages or self.reported_to.get(endpoint) == asked
+        is_known = not ages or self.reported_to.get(endpoint) == issuing_entry
         if not count and is_known:
             return None
         return PermitDemand(entry, count, tuple(ages))
 
-    def _lacking(self, endpoint: str, rate: float, now: float) -> int:
+    def _missing_permits(self, endpoint: str, rate: float, now: float) -> int:
         """Return how many permits this entry lacks.
 
         Permits are fetched ahead for as many requests as there were lately.
@@ -210,17 +212,17 @@
         if now < self.retry_at.get(endpoint, -inf):
             return 0
         recent = self.wanted.get(endpoint, {})
-        count = sum(now - at <= PERMIT_TIME for at in recent.values())
+        count = sum(now - at <= PERMIT_LIFETIME for at in recent.values())
         if rate != NO_LIMIT:
-            count = min(count, ceil(rate * PERMIT_TIME))
+            count = min(count, ceil(rate * PERMIT_LIFETIME))
         return max(0, count - len(self._valid(endpoint, now)))
 
-    def take(
+    def accept_grant(
         self,
         endpoint: str,
         grant: Grant,
-        asked: str,
-        asked_at: float,
+        issuing_entry: str,
+        requested_at: float,
         now: float,
         draw: float,
     ) -> None:
@@ -236,15 +238,15 @@
         """
         permits = self.permits.setdefault(endpoint, [])
         for delay in grant.delays:
-            until = asked_at + delay + PERMIT_TIME
+            until = requested_at + delay + PERMIT_LIFETIME
             permits.append(Permit(now + delay, until, grant.issuer))
-        permits.sort(key=lambda permit: permit.since)
+        permits.sort(key=lambda permit: permit.valid_from)
         self.retry_at[endpoint] = now + grant.retry_in * (1.0 + draw)
         if grant.issuer:
             self.issuers[endpoint] = grant.issuer
-            self.reported_to[endpoint] = asked
+            self.reported_to[endpoint] = issuing_entry
 
-    def drop(self, endpoint: str) -> None:
+    def revoke(self, endpoint: str) -> None:
         """Forget what could be sent to an endpoint, since it takes less than before."""
         self.permits.pop(endpoint, None)
 
@@ -255,7 +257,9 @@
     def expire(self, now: float) -> None:
         """Forget what is over."""
         for endpoint, requests in list(self.wanted.items()):
-            recent = {r: at for r, at in requests.items() if now - at <= PERMIT_TIME}
+            recent = {
+                r: at for r, at in requests.items() if now - at <= PERMIT_LIFETIME
+            }
             self.wanted[endpoint] = recent
             if not recent:
                 del self.wanted[endpoint]
@@ -274,5 +278,5 @@
     def _valid(self, endpoint: str, now: float) -> list[Permit]:
         """Return the permits that may still be used, the earliest first."""
         permits = self.permits.get(endpoint, [])
-        permits[:] = [permit for permit in permits if permit.until > now]
+        permits[:] = [permit for permit in permits if permit.valid_until > now]
         return permits
--- a/packages/core/src/lacewingcourse/core/pipelines/permits.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/permits.py
@@ -17,13 +17,13 @@
 WINDOW = 4.0
 #: Times the limit that is given out in a window that begins with more than the limit,
 #: and permits besides.
-CATCH_UP = 1.25
-CATCH_UP_PERMITS = 2
+WINDOW_FACTOR = 1.25
+WINDOW_EXTRA = 2
 #: Seconds ahead for which permits are given out. One that is given out long before its
 #: time is lost if the request that wanted it does not wait so long.
 HORIZON = 0.05
 #: Seconds after its time in which a permit must be used.
-PERMIT_TIME = 1.0
+PERMIT_LIFETIME = 1.0
 #: Part of a window's permits that the entry that gives them out takes itself while it
 #: knows others. Where two entries both take themselves for it, the sum stays bounded.
 OWN_SHARE = 0.5
@@ -31,7 +31,7 @@
 MAX_PERMITS = 64
 #: Seconds after its last permit in which an endpoint's permits are forgotten. Well
 #: above the time between two permits at the lowest rate: what begins anew begins empty.
-FORGOTTEN_AFTER = 60.0
+LEDGER_RETENTION = 60.0
 #: Bytes of the hash that ranks entries.
 RANK_BYTES = 8
 
@@ -122,7 +122,7 @@
         delays: list[float] = []
         at = self._next(rate, now, own)
         while len(delays) < count and at <= now + HORIZON:
-            self._note(at, own)
+            self._record(at, own)
             delays.append(at - now)
             at = self._next(rate, now, own)
         return delays, max(0.0, at - now - HORIZON)
@@ -132,10 +132,10 @@
         at = max(now, self.last + 1.0 / rate)
         most = rate * WINDOW
         counted = [*self.times, *(t for ts in self.reported.values() for t in ts)]
-        at = _room_at(counted, CATCH_UP * most + CATCH_UP_PERMITS, at)
-        return _room_at(self.own, OWN_SHARE * most + 1, at) if own else at
+        at = _earliest_time(counted, WINDOW_FACTOR * most + WINDOW_EXTRA, at)
+        return _earliest_time(self.own, OWN_SHARE * most + 1, at) if own else at
 
-    def _note(self, at: float, own: bool) -> None:
+    def _record(self, at: float, own: bool) -> None:
         self.last = at
         self.times.append(at)
         if own:
@@ -188,11 +188,11 @@
     def expire(self, now: float) -> None:
         """Forget the permits of endpoints for which nobody asks any more."""
         for endpoint, ledger in list(self.ledgers.items()):
-            if now - ledger.last > FORGOTTEN_AFTER:
+            if now - ledger.last > LEDGER_RETENTION:
                 del self.ledgers[endpoint]
 
 
-def _room_at(times: Iterable[float], most: float, at: float) -> float:
+def _earliest_time(times: Iterable[float], most: float, at: float) -> float:
     """Return from when a window that ends there has room for one more.
 
     Args:
@@ -217,6 +217,6 @@
         issuer: Who gave it out.
     """
 
-    since: float
-    until: float
+    valid_from: float
+    valid_until: float
     issuer: str
--- a/packages/core/src/lacewingcourse/core/pipelines/request_limits.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/request_limits.py
@@ -21,10 +21,10 @@
 #: Seconds after which a limit that was withdrawn is over.
 RELEASE_TIME = 5.0
 #: Seconds for which it is remembered after that, against news of it that come late.
-FORGOTTEN_AFTER = 15.0
+LIMIT_RETENTION = 15.0
 #: Part of a limit below which another one is a fall. Endpoints may name another one
 #: with each answer.
-FALL_SHARE = 0.8
+DECREASE_THRESHOLD = 0.8
 #: Seconds by which another entry's word must be newer to be taken over. Messages take
 #: time that their age does not count.
 MIN_NEWER = 0.05
@@ -46,7 +46,7 @@
     changed_at: float
     rate_before: float = NO_LIMIT
 
-    def take(self, named: float, observed_at: float, now: float) -> None:
+    def update(self, named: float, observed_at: float, now: float) -> None:
         """Take what the endpoint names."""
         self.observed_at = observed_at
         if named != self.named:
@@ -58,15 +58,15 @@
 
         One that falls holds at once, one that rises or ends is followed in steps.
         """
-        passed = now - self.changed_at
-        if passed >= RELEASE_TIME:
+        elapsed = now - self.changed_at
+        if elapsed >= RELEASE_TIME:
             return max(MIN_RATE, self.named)
-        rising = max(MIN_RATE, self.rate_before) * 2 ** (passed / DOUBLING_TIME)
+        rising = max(MIN_RATE, self.rate_before) * 2 ** (elapsed / DOUBLING_TIME)
         return max(MIN_RATE, min(self.named, rising))
 
-    def is_over(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Tell whether it was withdrawn so long ago that nobody tells of it."""
-        return self.named == NO_LIMIT and now - self.changed_at > FORGOTTEN_AFTER
+        return self.named == NO_LIMIT and now - self.changed_at > LIMIT_RETENTION
 
 
 @attrs.define
@@ -80,7 +80,7 @@
     """
 
     members: dict[str, RequestLimit] = attrs.field(factory=dict)
-    on_fall: Callable[[str], None] = lambda endpoint: None
+    on_decrease: Callable[[str], None] = lambda endpoint: None
 
     def observe(self, endpoint: str, named: float, sent_at: float, now: float) -> bool:
         """Take what an endpoint names in an answer; tell whether that is new.
@@ -97,7 +97,7 @@
         known = self.members.get(endpoint)
         if named == NO_LIMIT and (known is None or sent_at <= known.observed_at):
             return False
-        return self._take(endpoint, named, now, now)
+        return self._update(endpoint, named, now, now)
 
     def from_peer(self, endpoint: str, named: float, age: float, now: float) -> bool:
         """Take what another entry heard of an endpoint; tell whether that is new.
@@ -114,7 +114,7 @@
             return False
         if known is not None and observed_at <= known.observed_at + MIN_NEWER:
             return False
-        return self._take(endpoint, named, observed_at, now)
+        return self._update(endpoint, named, observed_at, now)
 
     def named(self, endpoint: str) -> float:
         """Return the requests a second that an endpoint named last."""
@@ -148,11 +148,11 @@
             now: Present time in seconds.
         """
         for endpoint, limit in list(self.members.items()):
-            gone = endpoint not in present and now - limit.observed_at > FORGOTTEN_AFTER
-            if gone or limit.is_over(now):
+            gone = endpoint not in present and now - limit.observed_at > LIMIT_RETENTION
+            if gone or limit.is_expired(now):
                 del self.members[endpoint]
 
-    def _take(
+    def _update(
         self, endpoint: str, named: float, observed_at: float, now: float
     ) -> bool:
         """Take what an endpoint names; tell whether that is something else."""
@@ -161,7 +161,7 @@
         if known is None:
             self.members[endpoint] = RequestLimit(named, observed_at, now)
         else:
-            known.take(named, observed_at, now)
-        if named < FALL_SHARE * before:
-            self.on_fall(endpoint)
+            known.update(named, observed_at, now)
+        if named < DECREASE_THRESHOLD * before:
+            self.on_decrease(endpoint)
         return named != before
--- a/packages/core/src/lacewingcourse/core/pipelines/send_limits.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/send_limits.py
@@ -31,20 +31,20 @@
     table: LimitTable = attrs.field(factory=LimitTable)
     sharing: LimitSharing = attrs.field(factory=PermitSharing)
     holds: dict[str, set[Hashable]] = attrs.field(factory=dict)
-    on_want: Callable[[], None] = lambda: None
-    on_fall: Callable[[], None] = lambda: None
+    on_demand: Callable[[], None] = lambda: None
+    on_decrease: Callable[[], None] = lambda: None
 
     def __attrs_post_init__(self) -> None:
-        self.table.on_fall = self._take_fall
+        self.table.on_decrease = self._on_decrease
 
     def blocked(self, now: float) -> set[str]:
         """Return the endpoints that may not be sent a further request now."""
         return {e for e in self.table.members if not self.allows(e, now)}
 
-    def want(self, endpoint: str, request: Hashable, now: float) -> None:
+    def note_demand(self, endpoint: str, request: Hashable, now: float) -> None:
         """Note that a request is to be sent to a limited endpoint."""
-        self.sharing.want(endpoint, request, now)
-        self.on_want()
+        self.sharing.note_demand(endpoint, request, now)
+        self.on_demand()
 
     def allows(self, endpoint: str, now: float) -> bool:
         """Tell whether an endpoint may be sent a request beside those to be sent."""
@@ -52,7 +52,7 @@
         if rate == NO_LIMIT:
             return True
         held = len(self.holds.get(endpoint, ()))
-        return self.sharing.left(endpoint, rate, now) > held
+        return self.sharing.available(endpoint, rate, now) > held
 
     def hold(self, endpoint: str, request: Hashable, now: float) -> bool:
         """Hold the right to send a request; tell whether there is one.
@@ -65,7 +65,7 @@
         self.release(request)
         if endpoint not in self.table.members:
             return True
-        self.want(endpoint, request, now)
+        self.note_demand(endpoint, request, now)
         if not self.allows(endpoint, now):
             return False
         self.holds.setdefault(endpoint, set()).add(request)
@@ -76,17 +76,17 @@
         for requests in self.holds.values():
             requests.discard(request)
 
-    def may_take(self, endpoint: str, request: Hashable, now: float) -> bool:
+    def may_send(self, endpoint: str, request: Hashable, now: float) -> bool:
         """Tell whether a request may be sent, with the right that it holds or one."""
         self.release(request)
         return self.allows(endpoint, now)
 
     def take(self, endpoint: str, request: Hashable, now: float) -> bool:
         """Use up the right to send a request; tell whether there was one."""
-        if not self.may_take(endpoint, request, now):
+        if not self.may_send(endpoint, request, now):
             return False
         rate = self.table.rate(endpoint, now)
-        self.sharing.use(endpoint, rate, now)
+        self.sharing.record_send(endpoint, rate, now)
         return True
 
     def next_in(self, endpoints: Iterable[str], now: float) -> float:
@@ -114,8 +114,8 @@
         self.sharing.expire(now)
         self.holds = {endpoint: held for endpoint, held in self.holds.items() if held}
 
-    def _take_fall(self, endpoint: str) -> None:
+    def _on_decrease(self, endpoint: str) -> None:
         """Keep a limit that has fallen, from now on."""
-        self.sharing.drop(endpoint)
-        self.on_want()
-        self.on_fall()
+        self.sharing.revoke(endpoint)
+        self.on_demand()
+        self.on_decrease()
--- a/packages/core/tests/pipelines/limit_fleet.py
+++ b/packages/core/tests/pipelines/limit_fleet.py
@@ -10,7 +10,7 @@
 import attrs
 
 from lacewingcourse.core.pipelines.limit_sharing import (
-    LIMIT_SHARINGS,
+    LIMIT_SHARING_POLICIES,
     PermitSharing,
 )
 from lacewingcourse.core.pipelines.peers import PEER_SILENCE_TIMEOUT
@@ -111,7 +111,7 @@
 
     def make(self, name: str, sharing: str, names: list[str]) -> LimitedEntry:
         """Return an entry that has just started."""
-        limits = SendLimits(sharing=LIMIT_SHARINGS.get(sharing)())
+        limits = SendLimits(sharing=LIMIT_SHARING_POLICIES.get(sharing)())
         limits.sharing.entries = len(names)
         issuer = PermitIssuer(f"{name}#{self.now}")
         return LimitedEntry(name, limits, issuer, list(names))
@@ -177,17 +177,17 @@
         if demand is None or ENDPOINT not in entry.limits.table.members:
             return
         entry.asking = True
-        asked_at = self.now
+        requested_at = self.now
         there = self.now + (0 if issuer == entry.name else self.delay())
-        self.at(there, lambda: self.answer(entry, issuer, demand, asked_at))
+        self.at(there, lambda: self.answer(entry, issuer, demand, requested_at))
 
-    def answer(self, entry, issuer, demand, asked_at) -> None:
+    def answer(self, entry, issuer, demand, requested_at) -> None:
         """Let an issuer answer; one that takes another one for it gives nothing."""
         other = self.entries[issuer]
         if not other.is_up:
             nothing = Grant("", (), UNANSWERED_RETRY)
             later = self.now + UNANSWERED
-            self.at(later, lambda: self.take(entry, nothing, issuer, asked_at))
+            self.at(later, lambda: self.take(entry, nothing, issuer, requested_at))
             return
         back = self.now + (0 if issuer == entry.name else self.delay())
         if issuer_of(ENDPOINT, other.alive) != issuer:
@@ -196,12 +196,12 @@
         own = issuer == entry.name and len(other.alive) > 1
         rate = entry.limits.table.rate(ENDPOINT, self.now)
         grant = other.issuer.grant(ENDPOINT, demand, rate, self.now, own)
-        self.at(back, lambda: self.take(entry, grant, issuer, asked_at))
+        self.at(back, lambda: self.take(entry, grant, issuer, requested_at))
 
-    def take(self, entry, grant, issuer, asked_at) -> None:
+    def take(self, entry, grant, issuer, requested_at) -> None:
         """Let an entry take what an issuer gave."""
         sharing, draw = entry.limits.sharing, self.rng.random()
-        sharing.take(ENDPOINT, grant, issuer, asked_at, self.now, draw)
+        sharing.accept_grant(ENDPOINT, grant, issuer, requested_at, self.now, draw)
         self.end_asking(entry)
 
     def end_asking(self, entry) -> None:
--- a/packages/core/tests/pipelines/test_limit_sharing.py
+++ b/packages/core/tests/pipelines/test_limit_sharing.py
@@ -82,17 +82,17 @@
 
 def test_a_request_holds_its_permit_while_it_connects():
     limits = limited(PermitSharing())
-    limits.sharing.take(ENDPOINT, Grant("i", (0.0,), 0.0), "i", 0.0, 0.0, 0.0)
+    limits.sharing.accept_grant(ENDPOINT, Grant("i", (0.0,), 0.0), "i", 0.0, 0.0, 0.0)
     assert limits.hold(ENDPOINT, "one", 0.1)
     assert not limits.hold(ENDPOINT, "two", 0.1)
-    assert not limits.may_take(ENDPOINT, "two", 0.2)
+    assert not limits.may_send(ENDPOINT, "two", 0.2)
     assert limits.take(ENDPOINT, "one", 0.2)
     assert not limits.take(ENDPOINT, "one", 0.2)
 
 
 def test_a_permit_that_was_given_back_is_left_to_others():
     limits = limited(PermitSharing())
-    limits.sharing.take(ENDPOINT, Grant("i", (0.0,), 0.0), "i", 0.0, 0.0, 0.0)
+    limits.sharing.accept_grant(ENDPOINT, Grant("i", (0.0,), 0.0), "i", 0.0, 0.0, 0.0)
     limits.hold(ENDPOINT, "one", 0.1)
     limits.release("one")
     assert limits.hold(ENDPOINT, "two", 0.1)
@@ -100,14 +100,14 @@
 
 def test_a_permit_that_is_not_used_in_its_time_is_lost():
     limits = limited(PermitSharing())
-    limits.sharing.take(ENDPOINT, Grant("i", (0.0,), 0.0), "i", 0.0, 0.4, 0.0)
+    limits.sharing.accept_grant(ENDPOINT, Grant("i", (0.0,), 0.0), "i", 0.0, 0.4, 0.0)
     assert limits.allows(ENDPOINT, 0.9)
     assert not limits.allows(ENDPOINT, 1.0)
 
 
 def test_a_frozen_entry_trusts_no_permit_from_before():
     limits = limited(PermitSharing())
-    limits.sharing.take(ENDPOINT, Grant("i", (0.0,), 0.0), "i", 0.0, 0.0, 0.0)
+    limits.sharing.accept_grant(ENDPOINT, Grant("i", (0.0,), 0.0), "i", 0.0, 0.0, 0.0)
     limits.sharing.clear()
     assert not limits.allows(ENDPOINT, 0.1)
 
@@ -129,7 +129,7 @@
     issuer = PermitIssuer("i")
     told = PermitSharing()
     for at in range(10):
-        told.use(ENDPOINT, NO_LIMIT, at / 10)
+        told.record_send(ENDPOINT, NO_LIMIT, at / 10)
     demand = told.demand("e", ENDPOINT, "i", 2.0, 1.0)
     assert (demand.count, len(demand.ages)) == (0, 10)
     issuer.grant(ENDPOINT, demand, 2.0, 1.0)
@@ -169,7 +169,9 @@
 
 def test_permits_of_a_higher_limit_are_lost_when_it_falls():
     limits = limited(PermitSharing(), named=10.0)
-    limits.sharing.take(ENDPOINT, Grant("i", (0.0,) * 8, 0.0), "i", 0.1, 0.1, 0.0)
+    limits.sharing.accept_grant(
+        ENDPOINT, Grant("i", (0.0,) * 8, 0.0), "i", 0.1, 0.1, 0.0
+    )
     assert limits.allows(ENDPOINT, 0.2)
     limits.table.observe(ENDPOINT, 1.0, 0.1, 0.2)
     assert not limits.allows(ENDPOINT, 0.2)
--- a/packages/core/tests/pipelines/test_request_limits.py
+++ b/packages/core/tests/pipelines/test_request_limits.py
@@ -38,7 +38,7 @@
     """All entries are told of a fall at once, so each of them costs a round."""
     table = LimitTable()
     seen = []
-    table.on_fall = seen.append
+    table.on_decrease = seen.append
     for limit in limits:
         table.observe("a", limit, 1.0, 1.1)
     assert len(seen) == falls
--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -13,7 +13,7 @@
 
 from lacewingcourse.core.pipelines.admission_queue import WAITS
 from lacewingcourse.core.pipelines.freshness import RETRY_DELAYS, PropagationBudget
-from lacewingcourse.core.pipelines.limit_sharing import LIMIT_SHARINGS
+from lacewingcourse.core.pipelines.limit_sharing import LIMIT_SHARING_POLICIES
 from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.permits import PermitIssuer
 from lacewingcourse.core.pipelines.retry_budget import RETRY_SHARINGS, RetryBudget
@@ -123,7 +123,7 @@
             self.metrics.unreadable_limits.inc,
         )
         send_limits = self.beliefs.send_limits
-        send_limits.sharing = LIMIT_SHARINGS.get(self.settings.limit_sharing)()
+        send_limits.sharing = LIMIT_SHARING_POLICIES.get(self.settings.limit_sharing)()
         sender = Sender(
             self.pool,
             self.platform.codec,
@@ -263,8 +263,8 @@
             self.metrics.unreadable_messages.inc,
             lambda: self.readiness.leaving,
         )
-        send_limits.on_want = self.permits.check
-        send_limits.on_fall = self._tell_peers
+        send_limits.on_demand = self.permits.check
+        send_limits.on_decrease = self._tell_peers
         self.house = Housekeeping(
             self.beliefs,
             self.pool,
--- a/packages/relay/src/lacewingcourse/relay/limit_permits.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_permits.py
@@ -157,7 +157,7 @@
         """Take what was given, and tell of it."""
         now, draw = self.clock(), self.rng.random()
         sharing = self.limits.sharing
-        sharing.take(endpoint, grant, asked, asked_at, now, draw)
+        sharing.accept_grant(endpoint, grant, asked, asked_at, now, draw)
         self.log.belief(
             "permits",
             endpoint=endpoint,
--- a/packages/relay/src/lacewingcourse/relay/limited_choice.py
+++ b/packages/relay/src/lacewingcourse/relay/limited_choice.py
@@ -44,7 +44,7 @@
     blocked = limits.blocked(now)
     if isinstance(found, Refusal) or endpoint_of(found) not in blocked:
         return found
-    limits.want(endpoint_of(found), job, now)
+    limits.note_demand(endpoint_of(found), job, now)
     job.limited.add(endpoint_of(found))
     other = choose([each for each in candidates if endpoint_of(each) not in blocked])
     if not is_no_route(other):
--- a/packages/relay/src/lacewingcourse/relay/sending.py
+++ b/packages/relay/src/lacewingcourse/relay/sending.py
@@ -143,7 +143,7 @@
             return Unsent.LEAVING
         if sending.time_left <= 0:
             return Unsent.OVERDUE
-        if not self.limits.may_take(sending.incarnation, job, now):
+        if not self.limits.may_send(sending.incarnation, job, now):
             return Unsent.OVER_LIMIT
         if job.sends and not self.budget.take(job.service, now, job):
             return Unsent.NO_RETRY
--- a/packages/relay/src/lacewingcourse/relay/settings.py
+++ b/packages/relay/src/lacewingcourse/relay/settings.py
@@ -51,7 +51,7 @@
         store_retry: Name of when a source that gave no answer is asked again, see
             `freshness.RETRY_DELAYS`.
         limit_sharing: Name of how entries share what limited endpoints take, see
-            `limit_sharing.LIMIT_SHARINGS`.
+            `limit_sharing.LIMIT_SHARING_POLICIES`.
         last_requests: Name of what is taken while the entry ends, see
             `shutdown.LAST_REQUESTS`.
     """
--- a/packages/relay/tests/relay/test_calls.py
+++ b/packages/relay/tests/relay/test_calls.py
@@ -252,7 +252,7 @@
     played = CallPlay()
     name_limit(played, "e0", "e1")
     grant = Grant("i", (0.0,), 10.0)
-    played.beliefs.send_limits.sharing.take("e0", grant, "i", 0.0, 0.0, 0.0)
+    played.beliefs.send_limits.sharing.accept_grant("e0", grant, "i", 0.0, 0.0, 0.0)
     assert isinstance(play(played.serve()), WholeAnswer)
     assert played.sent_to == ["e0"]
 
@@ -262,7 +262,7 @@
     played = CallPlay(endpoints=1, drops=True, slow=QUICK)
     name_limit(played, "e0")
     grant = Grant("i", (0.0,), 10.0)
-    played.beliefs.send_limits.sharing.take("e0", grant, "i", 0.0, 0.0, 0.0)
+    played.beliefs.send_limits.sharing.accept_grant("e0", grant, "i", 0.0, 0.0, 0.0)
     ended = play(played.serve())
     assert ended.outcome is Outcome.UNKNOWN
     assert played.sent_to == ["e0"]
--- a/packages/relay/tests/relay/test_limit_permits.py
+++ b/packages/relay/tests/relay/test_limit_permits.py
@@ -58,7 +58,7 @@
             Decisions(),
             self.count_unreadable,
         )
-        limits.on_want = exchange.check
+        limits.on_demand = exchange.check
         return exchange
 
     def count_unreadable(self) -> None:
