--- a/packages/core/src/lacewingcourse/core/pipelines/retry_budget.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/retry_budget.py
@@ -22,23 +22,23 @@
 #: Share of the retries left that an entry lends at a time.
 LENT_SHARE = 0.5
 #: Seconds after it was asked for in which a borrowed retry must be used.
-LOAN_TIME = 1.0
+LOAN_LIFETIME = 1.0
 #: Seconds after its start by which an entry has heard of the others and they of it. No
 #: less than `LOAN_TIME`, in which loans of the process before are used.
-COUNTING_TIME = 3.0
+PEER_DISCOVERY_TIME = 3.0
 
 #: How entries share the slack: returns how many retries one asks others for, from how
 #: many of its requests lack one.
-RETRY_SHARINGS: Registry[Callable[[int], int]] = Registry("sharing of retries")
+RETRY_SHARING_POLICIES: Registry[Callable[[int], int]] = Registry("sharing of retries")
 
 
-@RETRY_SHARINGS.register("even")
+@RETRY_SHARING_POLICIES.register("even")
 def ask_for_none(lacking: int) -> int:
     """Ask for nothing: each entry has its even share."""
     return 0
 
 
-@RETRY_SHARINGS.register("lent")
+@RETRY_SHARING_POLICIES.register("lent")
 def ask_for_all(lacking: int) -> int:
     """Ask for what is lacking."""
     return lacking
@@ -81,7 +81,7 @@
     window: float
     slack: float
     entries: int = 1
-    known: int = 1
+    known_entries: int = 1
     started_at: float = float("-inf")
     has_predecessor: bool = True
     requests: dict[str, deque[float]] = attrs.field(factory=dict)
@@ -108,7 +108,7 @@
         if len(self._loans(service, now)) > len(self.holds.get(service, ())):
             return True
         kept = 0.0 if reserved else RESERVED_SHARE * self._limit(service, now)
-        return self._free(service, now) - kept >= 1
+        return self._unheld(service, now) - kept >= 1
 
     def hold(
         self, service: str, request: Hashable, now: float, reserved: bool = True
@@ -160,13 +160,13 @@
 
     def lend(self, service: str, wanted: int, now: float) -> int:
         """Return how many retries are lent to another entry that wants some."""
-        free = LENT_SHARE * self._free(service, now)
+        free = LENT_SHARE * self._unheld(service, now)
         lent = max(0, min(wanted, floor(free)))
-        until = now + LOAN_TIME
+        until = now + LOAN_LIFETIME
         self.retries.setdefault(service, []).extend([until] * lent)
         return lent
 
-    def borrow(self, service: str, count: int, asked_at: float) -> None:
+    def borrow(self, service: str, count: int, requested_at: float) -> None:
         """Take retries that another entry lent.
 
         Args:
@@ -176,7 +176,7 @@
                 no earlier, however long its answer took.
         """
         loans = self.loans.setdefault(service, [])
-        loans.extend([asked_at + LOAN_TIME] * count)
+        loans.extend([requested_at + LOAN_LIFETIME] * count)
         loans.sort()
 
     def drop_loans(self) -> None:
@@ -187,30 +187,30 @@
         """Return the retries of this entry in a window."""
         requests = self.requests.get(service)
         count = 0 if requests is None else self._drop_old(requests, now)
-        return SAFETY_SHARE * (self.ratio * count) + self._share(now)
+        return SAFETY_SHARE * (self.ratio * count) + self._slack_share(now)
 
-    def _share(self, now: float) -> float:
+    def _slack_share(self, now: float) -> float:
         """Return the part of the slack that is this entry's own."""
         age = now - self.started_at
-        if age < COUNTING_TIME:
+        if age < PEER_DISCOVERY_TIME:
             return 0.0
-        share = self.slack / max(1, self.entries, self.known)
-        full_age = self.window + COUNTING_TIME
+        share = self.slack / max(1, self.entries, self.known_entries)
+        full_age = self.window + PEER_DISCOVERY_TIME
         if self.has_predecessor and age < full_age:
             return (1.0 - SAFETY_SHARE) * share * age / full_age
         return SAFETY_SHARE * share
 
-    def _left(self, service: str, now: float) -> float:
+    def _unused(self, service: str, now: float) -> float:
         """Return the retries of its own that this entry may still use."""
         since = now - self.window
         used = [time for time in self.retries.get(service, ()) if time > since]
         self.retries[service] = used
         return self._limit(service, now) - len(used)
 
-    def _free(self, service: str, now: float) -> float:
+    def _unheld(self, service: str, now: float) -> float:
         """Return the retries of its own that no request of this entry holds."""
         held = len(self.holds.get(service, ())) - len(self._loans(service, now))
-        return self._left(service, now) - max(0, held)
+        return self._unused(service, now) - max(0, held)
 
     def _loans(self, service: str, now: float) -> list[float]:
         """Return the borrowed retries that may be used."""
--- a/packages/core/src/lacewingcourse/core/pipelines/shutdown.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/shutdown.py
@@ -43,13 +43,13 @@
 
 
 @LAST_REQUESTS.register("none")
-def take_none(time: AnswerTime, left: float) -> bool:
+def admit_none(time: AnswerTime, left: float) -> bool:
     """Take no request: its caller asks another instance at once."""
     return False
 
 
 @LAST_REQUESTS.register("expected")
-def take_expected(time: AnswerTime, left: float) -> bool:
+def admit_expected(time: AnswerTime, left: float) -> bool:
     """Take what is expected to end in time.
 
     One answer in twenty lasts longer than expected and may be cut off.
@@ -61,7 +61,7 @@
 
 
 @LAST_REQUESTS.register("limited")
-def take_limited(time: AnswerTime, left: float) -> bool:
+def admit_limited(time: AnswerTime, left: float) -> bool:
     """Take what is over in time by the limit of its route or caller.
 
     No pace seen before bounds an answer whose endpoints may slow down meanwhile.
@@ -70,12 +70,12 @@
 
 
 @LAST_REQUESTS.register("redirected")
-def take_until_redirected(time: AnswerTime, left: float) -> bool:
+def admit_until_redirected(time: AnswerTime, left: float) -> bool:
     """Take what is expected to end in time, later what is over by its limit.
 
     A caller that is refused before the balancer has noticed meets the same instance
     again. Later it finds another one, so nothing is risked for it any more.
     """
     if time.since_asked <= REDIRECT_TIME:
-        return take_expected(time, left)
-    return take_limited(time, left)
+        return admit_expected(time, left)
+    return admit_limited(time, left)
--- a/packages/core/tests/pipelines/test_retry_budget.py
+++ b/packages/core/tests/pipelines/test_retry_budget.py
@@ -7,8 +7,8 @@
 import pytest
 
 from lacewingcourse.core.pipelines.retry_budget import (
-    COUNTING_TIME,
-    LOAN_TIME,
+    LOAN_LIFETIME,
+    PEER_DISCOVERY_TIME,
     RESERVED_SHARE,
     SAFETY_SHARE,
     RetryBudget,
@@ -53,20 +53,20 @@
 
 def test_a_loan_may_be_used_for_a_while_from_when_it_was_asked_for():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=0.0)
-    budget.borrow("s", 2, asked_at=0.0)
-    assert budget.take("s", now=LOAN_TIME - 0.1)
-    assert not budget.allows("s", now=LOAN_TIME)
+    budget.borrow("s", 2, requested_at=0.0)
+    assert budget.take("s", now=LOAN_LIFETIME - 0.1)
+    assert not budget.allows("s", now=LOAN_LIFETIME)
 
 
 def test_a_loan_that_comes_late_is_not_used():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=0.0)
-    budget.borrow("s", 2, asked_at=0.0)
+    budget.borrow("s", 2, requested_at=0.0)
     assert not budget.take("s", now=5.0)
 
 
 def test_nothing_borrowed_is_lent_on():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=0.0)
-    budget.borrow("s", 5, asked_at=0.0)
+    budget.borrow("s", 5, requested_at=0.0)
     assert budget.lend("s", 5, now=0.1) == 0
 
 
@@ -116,17 +116,17 @@
 
 def test_a_loan_that_was_held_may_be_used_until_its_own_end():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=0.0)
-    budget.borrow("s", 1, asked_at=0.0)
+    budget.borrow("s", 1, requested_at=0.0)
     assert budget.hold("s", "a", now=0.1)
     assert not budget.hold("s", "b", now=0.1)
     budget.release("s", "a")
     assert budget.hold("s", "b", now=0.1)
-    assert not budget.take("s", now=LOAN_TIME, request="b")
+    assert not budget.take("s", now=LOAN_LIFETIME, request="b")
 
 
 def test_retries_that_are_held_on_loans_are_not_taken_off_what_is_lent():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=2.0 / SAFETY_SHARE)
-    budget.borrow("s", 1, asked_at=0.0)
+    budget.borrow("s", 1, requested_at=0.0)
     assert budget.hold("s", "a", now=0.1)
     assert budget.lend("s", 1, now=0.1) == 1
 
@@ -144,9 +144,11 @@
     )
 
 
-@pytest.mark.parametrize("heard", [1, 8])
+@pytest.mark.parametrize("known_at_start", [1, 8])
 @pytest.mark.parametrize("seed", range(8))
-def test_entries_that_restart_within_a_window_stay_within_the_slack(seed, heard):
+def test_entries_that_restart_within_a_window_stay_within_the_slack(
+    seed, known_at_start
+):
     """Some more than once, whether or not they have heard of one another."""
     rng = Random(seed)
     entries = [RetryBudget(RATIO, WINDOW, SLACK, entries=8) for _ in range(8)]
@@ -155,9 +157,9 @@
         now = tick * 0.05
         for number, budget in enumerate(entries):
             if 8.0 <= now <= 16.0 and rng.random() < 0.01:
-                new = RetryBudget(RATIO, WINDOW, SLACK, heard, started_at=now)
+                new = RetryBudget(RATIO, WINDOW, SLACK, known_at_start, started_at=now)
                 entries[number] = new
-            if now - budget.started_at > COUNTING_TIME:
+            if now - budget.started_at > PEER_DISCOVERY_TIME:
                 budget.entries = 8
             if rng.random() < 0.1:
                 budget.on_request("s", now)
@@ -179,16 +181,18 @@
                 new = RetryBudget(RATIO, WINDOW, SLACK, 8, started_at=now)
                 entries.append(new)
         for budget in entries:
-            if now >= 10.0 + COUNTING_TIME:
+            if now >= 10.0 + PEER_DISCOVERY_TIME:
                 budget.entries = 8
             while budget.take("s", now):
                 retries.append(now)
     assert most_beyond([], retries) <= SLACK
 
 
-@pytest.mark.parametrize("heard", [1, 5])
-def test_an_entry_that_has_not_counted_the_others_has_what_its_requests_allow(heard):
-    budget = RetryBudget(RATIO, WINDOW, SLACK, heard, started_at=50.0)
+@pytest.mark.parametrize("known_at_start", [1, 5])
+def test_an_entry_that_has_not_counted_the_others_has_what_its_requests_allow(
+    known_at_start,
+):
+    budget = RetryBudget(RATIO, WINDOW, SLACK, known_at_start, started_at=50.0)
     for _ in range(50):
         budget.on_request("s", now=51.0)
     assert sum(budget.take("s", now=52.9) for _ in range(50)) == 7
@@ -197,7 +201,7 @@
 
 def test_an_entry_that_restarts_uses_what_others_lend():
     budget = RetryBudget(RATIO, WINDOW, SLACK, entries=5, started_at=50.0)
-    budget.borrow("s", 2, asked_at=51.0)
+    budget.borrow("s", 2, requested_at=51.0)
     assert sum(budget.take("s", now=51.1) for _ in range(5)) == 2
 
 
@@ -211,7 +215,7 @@
 
 def test_a_share_is_back_once_no_window_holds_what_was_used_before():
     budget = RetryBudget(RATIO, WINDOW, SLACK, entries=5, started_at=50.0)
-    back_at = 50.0 + WINDOW + COUNTING_TIME
+    back_at = 50.0 + WINDOW + PEER_DISCOVERY_TIME
     taken = sum(budget.take("s", now=back_at - 0.1) for _ in range(50))
     assert taken == int((1.0 - SAFETY_SHARE) * SLACK / 5 - 0.1)
     taken += sum(budget.take("s", now=back_at) for _ in range(50))
@@ -222,11 +226,11 @@
     budget = RetryBudget(
         RATIO, WINDOW, SLACK, entries=1, started_at=50.0, has_predecessor=False
     )
-    assert not budget.allows("s", now=50.0 + COUNTING_TIME - 0.1)
-    assert budget.allows("s", now=50.0 + COUNTING_TIME)
+    assert not budget.allows("s", now=50.0 + PEER_DISCOVERY_TIME - 0.1)
+    assert budget.allows("s", now=50.0 + PEER_DISCOVERY_TIME)
 
 
 def test_entries_that_are_known_but_not_alive_have_their_shares():
     budget = RetryBudget(RATIO, WINDOW, SLACK, entries=5)
-    budget.known = 10
+    budget.known_entries = 10
     assert sum(budget.take("s", now=1.0) for _ in range(50)) == 7
--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -16,7 +16,10 @@
 from lacewingcourse.core.pipelines.limit_sharing import LIMIT_SHARING_POLICIES
 from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.permits import PermitIssuer
-from lacewingcourse.core.pipelines.retry_budget import RETRY_SHARINGS, RetryBudget
+from lacewingcourse.core.pipelines.retry_budget import (
+    RETRY_SHARING_POLICIES,
+    RetryBudget,
+)
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
 from lacewingcourse.relay.address import split_address
 from lacewingcourse.relay.admission import Admission
@@ -248,7 +251,7 @@
             rng,
             self.log,
             self.metrics.unreadable_messages.inc,
-            RETRY_SHARINGS.get(self.settings.retry_sharing),
+            RETRY_SHARING_POLICIES.get(self.settings.retry_sharing),
         )
         # A later process of the same name counts anew.
         issuer = PermitIssuer(f"{self.settings.name} {uuid4()}")
--- a/packages/relay/src/lacewingcourse/relay/housekeeping.py
+++ b/packages/relay/src/lacewingcourse/relay/housekeeping.py
@@ -69,7 +69,7 @@
         self.beliefs.send_limits.sharing.entries = self.book.count(now)
         self.issuer.expire(now)
         self.budget.entries = max(self.book.count(now), self.budget.entries)
-        self.budget.known = 1 + len(self.book.peers)
+        self.budget.known_entries = 1 + len(self.book.peers)
 
 
 def seconds_asleep(now: float) -> float:
--- a/packages/relay/src/lacewingcourse/relay/readiness.py
+++ b/packages/relay/src/lacewingcourse/relay/readiness.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.shutdown import AnswerTime, take_until_redirected
+from lacewingcourse.core.pipelines.shutdown import AnswerTime, admit_until_redirected
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,7 +33,7 @@
 
     beliefs: Beliefs
     grace: float
-    takes_last: Callable[[AnswerTime, float], bool] = take_until_redirected
+    takes_last: Callable[[AnswerTime, float], bool] = admit_until_redirected
     leaving_since: float | None = None
     closed: bool = False
 
--- a/packages/relay/src/lacewingcourse/relay/settings.py
+++ b/packages/relay/src/lacewingcourse/relay/settings.py
@@ -47,7 +47,7 @@
             ran before this one.
         wait: Name of how long a request waits for room, see `admission_queue.WAITS`.
         retry_sharing: Name of how entries share retries, see
-            `retry_budget.RETRY_SHARINGS`.
+            `retry_budget.RETRY_SHARING_POLICIES`.
         store_retry: Name of when a source that gave no answer is asked again, see
             `freshness.RETRY_DELAYS`.
         limit_sharing: Name of how entries share what limited endpoints take, see
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -8,7 +8,7 @@
 
 from lacewingcourse.core.pipelines.peers import MEMBER_RANK, PEER_SILENCE_TIMEOUT, Role
 from lacewingcourse.core.pipelines.request_limits import NO_LIMIT
-from lacewingcourse.core.pipelines.retry_budget import COUNTING_TIME
+from lacewingcourse.core.pipelines.retry_budget import PEER_DISCOVERY_TIME
 from lacewingcourse.relay.peers import PERIOD, REGISTRY_PERIOD
 
 from .network import Network
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("zones", [{"a": 2, "b": 1}, dict.fromkeys("abcde", 14)])
 def test_entries_are_counted_before_they_use_their_shares_of_the_retries(zones):
     network = Network(zones)
-    network.rounds(int((COUNTING_TIME - REGISTRY_PERIOD) / PERIOD))
+    network.rounds(int((PEER_DISCOVERY_TIME - REGISTRY_PERIOD) / PERIOD))
     counts = {e.book.count(network.clock()) for e in network.entries.values()}
     assert counts == {sum(zones.values())}
 
--- a/packages/relay/tests/relay/test_housekeeping.py
+++ b/packages/relay/tests/relay/test_housekeeping.py
@@ -57,10 +57,10 @@
     house.book.record_message("b", "b:1", True, 0.0)
     house.book.set_address("c", "c:1", 0.0)
     house.forget(0.1)
-    assert (house.budget.known, house.budget.entries) == (3, 1)
+    assert (house.budget.known_entries, house.budget.entries) == (3, 1)
     house.book.expire(100.0)
     house.forget(100.0)
-    assert house.budget.known == 1
+    assert house.budget.known_entries == 1
 
 
 @pytest.mark.parametrize(("slept", "told"), [(FREEZE / 2, 0), (FREEZE + 1.0, 1)])
--- a/packages/relay/tests/relay/test_readiness.py
+++ b/packages/relay/tests/relay/test_readiness.py
@@ -8,9 +8,9 @@
 from lacewingcourse.core.pipelines.shutdown import (
     REDIRECT_TIME,
     UNKNOWN_SHARE,
-    take_expected,
-    take_limited,
-    take_until_redirected,
+    admit_expected,
+    admit_limited,
+    admit_until_redirected,
 )
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.readiness import END_MARGIN, Readiness
@@ -28,7 +28,7 @@
 @pytest.fixture
 def leaving() -> Readiness:
     """An entry that was asked to end at 10, and once more at 12."""
-    readiness = Readiness(Beliefs(), GRACE, take_expected)
+    readiness = Readiness(Beliefs(), GRACE, admit_expected)
     readiness.leave(now=10.0)
     readiness.leave(now=12.0)
     return readiness
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize("length", [0.1, 1.5, 2.6])
 def test_an_entry_that_leaves_takes_what_will_end_in_time(grace, length):
     """With 2.8 seconds whatever the grace, 47 requests were refused in vain."""
-    readiness = Readiness(Beliefs(), grace, take_expected)
+    readiness = Readiness(Beliefs(), grace, admit_expected)
     for number in range(100):
         readiness.beliefs.durations.note("rooms", length * (0.5 + number / 200))
     readiness.leave(now=10.0)
@@ -77,7 +77,9 @@
     assert not takes(leaving, ROOMS, 17.0)
 
 
-@pytest.mark.parametrize("choice", [take_expected, take_limited, take_until_redirected])
+@pytest.mark.parametrize(
+    "choice", [admit_expected, admit_limited, admit_until_redirected]
+)
 def test_what_is_over_before_the_end_is_taken_to_the_last(leaving, choice):
     leaving.takes_last = choice
     end = 10.0 + GRACE - END_MARGIN
@@ -90,7 +92,7 @@
     for _ in range(64):
         leaving.beliefs.durations.note("rooms", usual)
         leaving.beliefs.durations.note_stream("rooms", 0.1 * usual, 0.01 * usual)
-    leaving.takes_last = take_until_redirected
+    leaving.takes_last = admit_until_redirected
     redirected = 10.0 + REDIRECT_TIME
     assert takes(leaving, ROOMS, redirected - 0.01)
     assert not takes(leaving, ROOMS, redirected + 0.01)
@@ -98,6 +100,6 @@
 
 
 def test_a_stream_is_taken_by_its_limit_alone_if_an_operator_wants_it(leaving):
-    leaving.takes_last = take_limited
+    leaving.takes_last = admit_limited
     assert not takes(leaving, ROOMS, 11.0)
     assert takes(leaving, ROOMS, 11.0, until=17.0)
--- a/packages/relay/tests/relay/test_retries_at_once.py
+++ b/packages/relay/tests/relay/test_retries_at_once.py
@@ -9,7 +9,7 @@
 
 from lacewingcourse.core.errors import ErrorKind, Outcome, Refusal
 from lacewingcourse.core.pipelines.retry_budget import (
-    LOAN_TIME,
+    LOAN_LIFETIME,
     SAFETY_SHARE,
     RetryBudget,
 )
@@ -201,7 +201,7 @@
     def make(until: float) -> RetryBudget:
         made = RetryBudget(0.0, 100.0, 0.0)
         for service in ("rooms", "desk"):
-            made.borrow(service, 1, until - LOAN_TIME)
+            made.borrow(service, 1, until - LOAN_LIFETIME)
         return made
 
     return make
--- a/packages/relay/tests/relay/test_sent_while_ending.py
+++ b/packages/relay/tests/relay/test_sent_while_ending.py
@@ -10,7 +10,7 @@
 from tornado.httputil import HTTPHeaders
 
 from lacewingcourse.core.errors import ErrorKind, Outcome, Refusal
-from lacewingcourse.core.pipelines.shutdown import take_none
+from lacewingcourse.core.pipelines.shutdown import admit_none
 from lacewingcourse.relay.admission import RETRY_PERIOD
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.connections import NotSent, Unsent
@@ -34,7 +34,7 @@
 
 def takes_until_asked(job, asked=ASKED):
     """Return a request that an entry which is asked to end takes no more."""
-    readiness = Readiness(Beliefs(), GRACE, take_none)
+    readiness = Readiness(Beliefs(), GRACE, admit_none)
     asyncio.get_running_loop().call_at(asked, readiness.leave, asked)
     job.takes = lambda now: readiness.takes(job.route.name, now, job.until)
     return job
