--- a/packages/core/src/lacewingcourse/core/pipelines/stalls.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/stalls.py
@@ -15,33 +15,33 @@
 #: Shares of the pause that its route allows which are the shortest and the longest
 #: silence after which a stream is looked at. What is left has to hold the question and
 #: the reading of the prompt on another path.
-LEAST_SILENCE = 0.3
-MOST_SILENCE = 0.6
+MIN_SILENCE_SHARE = 0.3
+MAX_SILENCE_SHARE = 0.6
 #: Seconds that a route's pause counts as at the most; callers leave after two seconds
 #: of silence whatever the route allows.
-LONGEST_GAP = 0.3
+MAX_GAP = 0.3
 #: Share of the objective without a first event after which a stream is looked at.
-FIRST_SILENCE = 0.35
+FIRST_EVENT_SHARE = 0.35
 #: Seconds that an objective counts as at the most.
-LONGEST_OBJECTIVE = 1.0
+MAX_OBJECTIVE = 1.0
 #: Share of the pause that its route allows, and times its own usual pause, after which
 #: a stream's endpoints are asked if all others through one of them are silent too.
 #: Several streams seldom pause together on an endpoint that lives.
-EARLY_SILENCE = 0.2
+EARLY_SHARE = 0.2
 EARLY_FACTOR = 1.5
 #: Streams that must have fallen silent together.
-EARLY_STREAMS = 2
+MIN_EARLY_STREAMS = 2
 #: Seconds in which another stream must have been heard, or this entry itself may be
 #: what stands still.
-HEARD = 0.05
+RECENT_ARRIVAL = 0.05
 #: Weight of the newest pause in the usual one.
 PAUSE_WEIGHT = 0.2
 #: Seconds that are taken as the usual pause of a stream without any yet.
-FIRST_PAUSE = 0.04
+INITIAL_PAUSE = 0.04
 
 
 @attrs.define(eq=False)
-class Watched:
+class WatchedStream:
     """A stream that passes events on.
 
     Attributes:
@@ -55,9 +55,9 @@
 
     path: Path
     progressed_at: float
-    gap: float = LONGEST_GAP
-    objective: float = LONGEST_OBJECTIVE
-    pause: float = FIRST_PAUSE
+    gap: float = MAX_GAP
+    objective: float = MAX_OBJECTIVE
+    pause: float = INITIAL_PAUSE
     begun: bool = False
 
     def progress(self, now: float) -> None:
@@ -71,23 +71,23 @@
         self.progressed_at = now
 
     @property
-    def patience(self) -> float:
+    def silence_timeout(self) -> float:
         """Seconds of silence after which it is looked at."""
         if not self.begun:
-            return FIRST_SILENCE * min(self.objective, LONGEST_OBJECTIVE)
-        gap = min(self.gap, LONGEST_GAP)
-        least, most = LEAST_SILENCE * gap, MOST_SILENCE * gap
+            return FIRST_EVENT_SHARE * min(self.objective, MAX_OBJECTIVE)
+        gap = min(self.gap, MAX_GAP)
+        least, most = MIN_SILENCE_SHARE * gap, MAX_SILENCE_SHARE * gap
         return min(most, max(least, SILENCE_FACTOR * self.pause))
 
     @property
-    def early_patience(self) -> float:
+    def early_timeout(self) -> float:
         """Seconds of silence after which it may be cut off."""
-        least = EARLY_SILENCE * min(self.gap, LONGEST_GAP)
+        least = EARLY_SHARE * min(self.gap, MAX_GAP)
         return max(least, EARLY_FACTOR * self.pause)
 
 
 @attrs.frozen
-class Silence:
+class SuspectedStall:
     """A stream that may stand still.
 
     Attributes:
@@ -95,8 +95,8 @@
         unheard: Parts of its path that nothing passed lately.
     """
 
-    watched: Watched
-    unheard: tuple[Part, ...]
+    watched: WatchedStream
+    silent_parts: tuple[Part, ...]
 
 
 @attrs.define
@@ -111,15 +111,15 @@
         streams: The streams that are watched.
     """
 
-    streams: set[Watched] = attrs.field(factory=set)
+    streams: set[WatchedStream] = attrs.field(factory=set)
 
     def begin(
         self,
         path: Path,
         now: float,
-        gap: float = LONGEST_GAP,
-        objective: float = LONGEST_OBJECTIVE,
-    ) -> Watched:
+        gap: float = MAX_GAP,
+        objective: float = MAX_OBJECTIVE,
+    ) -> WatchedStream:
         """Watch a stream that was sent on a path.
 
         Args:
@@ -128,30 +128,30 @@
             gap: Seconds that its route allows between two events.
             objective: Seconds in which its route wants the first event.
         """
-        watched = Watched(path, now, gap, objective)
+        watched = WatchedStream(path, now, gap, objective)
         self.streams.add(watched)
         return watched
 
-    def end(self, watched: Watched) -> None:
+    def end(self, watched: WatchedStream) -> None:
         """Stop watching a stream."""
         self.streams.discard(watched)
 
-    def silent(self, now: float) -> list[Silence]:
+    def silent(self, now: float) -> list[SuspectedStall]:
         """Return the streams that may stand still."""
-        silent = [w for w in self.streams if now - w.progressed_at > w.patience]
+        silent = [w for w in self.streams if now - w.progressed_at > w.silence_timeout]
         if not silent:
             return []
-        passed = self._last_passed()
+        arrivals = self._last_arrivals()
         found = []
         for watched in silent:
-            since = now - watched.patience
+            since = now - watched.silence_timeout
             parts = watched.path.parts
-            unheard = tuple(p for p in parts if passed[p.endpoint] < since)
-            if unheard:
-                found.append(Silence(watched, unheard))
+            silent_parts = tuple(p for p in parts if arrivals[p.endpoint] < since)
+            if silent_parts:
+                found.append(SuspectedStall(watched, silent_parts))
         return found
 
-    def cut_off(self, now: float) -> list[Silence]:
+    def cut_off(self, now: float) -> list[SuspectedStall]:
         """Return the streams that look cut off, with the parts not heard for them.
 
         These pass an endpoint through which several streams go, all of which fell
@@ -159,46 +159,48 @@
         through which nothing passed lately.
         """
         begun = [watched for watched in self.streams if watched.begun]
-        if not any(now - w.progressed_at < HEARD for w in begun):
+        if not any(now - w.progressed_at < RECENT_ARRIVAL for w in begun):
             return []
-        silent = {w for w in begun if now - w.progressed_at > w.early_patience}
-        if len(silent) < EARLY_STREAMS:
+        silent = {w for w in begun if now - w.progressed_at > w.early_timeout}
+        if len(silent) < MIN_EARLY_STREAMS:
             return []
-        through: dict[str, list[Watched]] = {}
+        through: dict[str, list[WatchedStream]] = {}
         for watched in begun:
             for part in watched.path.parts:
                 through.setdefault(part.endpoint, []).append(watched)
-        unheard = {
+        silent_parts = {
             endpoint
             for endpoint, streams in through.items()
             if silent.issuperset(streams)
         }
-        dead = {e for e in unheard if len(through[e]) >= EARLY_STREAMS}
+        dead = {e for e in silent_parts if len(through[e]) >= MIN_EARLY_STREAMS}
         found = [w for w in begun if w.path.uses(dead)]
         return [
-            Silence(w, tuple(p for p in w.path.parts if p.endpoint in unheard))
+            SuspectedStall(
+                w, tuple(p for p in w.path.parts if p.endpoint in silent_parts)
+            )
             for w in found
         ]
 
-    def last_heard(self, besides: str) -> str | None:
+    def last_active(self, exclude: str) -> str | None:
         """Return the address that something passed last, None if there is none.
 
         Args:
             besides: An address that does not count.
         """
-        heard = [
+        active = [
             (watched.progressed_at, part.address)
             for watched in self.streams
             for part in watched.path.parts
-            if part.address != besides
+            if part.address != exclude
         ]
-        return max(heard)[1] if heard else None
+        return max(active)[1] if active else None
 
-    def _last_passed(self) -> dict[str, float]:
+    def _last_arrivals(self) -> dict[str, float]:
         """Return when something last passed through each endpoint."""
-        passed: dict[str, float] = {}
+        arrivals: dict[str, float] = {}
         for watched in self.streams:
             for part in watched.path.parts:
-                last = passed.get(part.endpoint, float("-inf"))
-                passed[part.endpoint] = max(last, watched.progressed_at)
-        return passed
+                last = arrivals.get(part.endpoint, float("-inf"))
+                arrivals[part.endpoint] = max(last, watched.progressed_at)
+        return arrivals
--- a/packages/core/tests/pipelines/test_stalls.py
+++ b/packages/core/tests/pipelines/test_stalls.py
@@ -5,10 +5,10 @@
 from lacewingcourse.core.pipelines.path import Part, Path
 from lacewingcourse.core.pipelines.shape import Layers
 from lacewingcourse.core.pipelines.stalls import (
-    EARLY_SILENCE,
-    FIRST_SILENCE,
-    LEAST_SILENCE,
-    MOST_SILENCE,
+    EARLY_SHARE,
+    FIRST_EVENT_SHARE,
+    MAX_SILENCE_SHARE,
+    MIN_SILENCE_SHARE,
     StallWatch,
 )
 
@@ -42,9 +42,9 @@
 def test_a_stream_is_looked_at_when_nothing_passes_an_endpoint():
     watch = StallWatch()
     watched = begun(watch, path_of("a", "b"), 0.0)
-    (silence,) = watch.silent(MOST_SILENCE * GAP + 0.01)
+    (silence,) = watch.silent(MAX_SILENCE_SHARE * GAP + 0.01)
     assert silence.watched is watched
-    assert silence.unheard == watched.path.parts
+    assert silence.silent_parts == watched.path.parts
 
 
 def test_only_the_endpoints_that_nothing_passed_are_in_question():
@@ -53,7 +53,7 @@
     begun(watch, path_of("a", "c"), 0.0).progress(0.19)
     (silence,) = watch.silent(0.2)
     assert silence.watched is watched
-    assert [part.endpoint for part in silence.unheard] == ["b"]
+    assert [part.endpoint for part in silence.silent_parts] == ["b"]
 
 
 def test_a_stream_is_left_alone_while_others_pass_all_its_endpoints():
@@ -69,14 +69,14 @@
     watched = begun(watch, path_of("a"), 0.0)
     for at in range(1, 30):
         watched.progress(at * 0.045)
-    assert LEAST_SILENCE * GAP < watched.patience <= MOST_SILENCE * GAP
+    assert MIN_SILENCE_SHARE * GAP < watched.silence_timeout <= MAX_SILENCE_SHARE * GAP
 
 
 def test_a_stream_without_an_event_is_looked_at_later():
     watch = StallWatch()
     watched = watch.begin(path_of("a"), 0.0, GAP, OBJECTIVE)
-    assert watch.silent(FIRST_SILENCE * OBJECTIVE - 0.01) == []
-    (silence,) = watch.silent(FIRST_SILENCE * OBJECTIVE + 0.01)
+    assert watch.silent(FIRST_EVENT_SHARE * OBJECTIVE - 0.01) == []
+    (silence,) = watch.silent(FIRST_EVENT_SHARE * OBJECTIVE + 0.01)
     assert silence.watched is watched
 
 
@@ -100,7 +100,7 @@
     second = flowing(watch, path_of("b", "x"), 1.0)
     flowing(watch, path_of("b", "c"), 1.2)
     found = {
-        silence.watched: {part.endpoint for part in silence.unheard}
+        silence.watched: {part.endpoint for part in silence.silent_parts}
         for silence in watch.cut_off(1.2)
     }
     assert found == {first: {"a", "x"}, second: {"x"}}
@@ -111,7 +111,7 @@
     flowing(watch, path_of("a", "x"), 1.0)
     flowing(watch, path_of("b", "x"), 1.0)
     flowing(watch, path_of("c"), 1.2)
-    assert watch.cut_off(1.0 + EARLY_SILENCE * GAP - 0.01) == []
+    assert watch.cut_off(1.0 + EARLY_SHARE * GAP - 0.01) == []
 
 
 def test_one_silent_stream_alone_may_only_wait_for_memory():
--- a/packages/relay/src/lacewingcourse/relay/job.py
+++ b/packages/relay/src/lacewingcourse/relay/job.py
@@ -21,7 +21,7 @@
 
     from lacewingcourse.core.pipelines.path import Path
     from lacewingcourse.core.pipelines.routing import Organisation, Route
-    from lacewingcourse.core.pipelines.stalls import Watched
+    from lacewingcourse.core.pipelines.stalls import WatchedStream
     from lacewingcourse.relay.caller import CallerExchange
     from lacewingcourse.relay.ports import CallerRequest
 
@@ -83,7 +83,7 @@
     progressed_at: float = 0.0
     waited: float = 0.0
     events: int = 0
-    watched: Watched | None = None
+    watched: WatchedStream | None = None
     takes: Callable[[float], bool] = lambda now: True
 
     @property
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -17,7 +17,7 @@
 
     from lacewingcourse.core.pipelines.path import Part
     from lacewingcourse.core.pipelines.speed import SpeedEstimator
-    from lacewingcourse.core.pipelines.stalls import Watched
+    from lacewingcourse.core.pipelines.stalls import WatchedStream
     from lacewingcourse.core.pipelines.suspects import Suspects
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.job import Job
@@ -82,7 +82,7 @@
     on_suspect: Callable[[tuple[str, ...], str], None]
     on_start: Callable[[str, int], bool]
     watch: StallWatch = attrs.field(factory=StallWatch)
-    jobs: dict[Watched, Job] = attrs.field(factory=dict)
+    jobs: dict[WatchedStream, Job] = attrs.field(factory=dict)
     asked: dict[str, float] = attrs.field(factory=dict)
     asking: set[str] = attrs.field(factory=set)
     answered: dict[str, float] = attrs.field(factory=dict)
@@ -130,13 +130,13 @@
         """Move silent streams whose cause is known, ask about the others."""
         known = self.suspects.silent(now, since=now - FRESH)
         for silence in self.watch.silent(now):
-            cause = known.intersection(p.endpoint for p in silence.unheard)
+            cause = known.intersection(p.endpoint for p in silence.silent_parts)
             if cause:
                 self._move(silence.watched, cause)
                 continue
-            self._ask_all(silence.unheard, now)
+            self._ask_all(silence.silent_parts, now)
         for silence in self.watch.cut_off(now):
-            parts = (p for p in silence.unheard if p.endpoint not in known)
+            parts = (p for p in silence.silent_parts if p.endpoint not in known)
             self._ask_all(parts, now)
         self._ask_slow(now)
 
@@ -160,7 +160,7 @@
         """
         unheard = {endpoint}
         for watched, job in list(self.jobs.items()):
-            silent = now - watched.progressed_at > watched.early_patience
+            silent = now - watched.progressed_at > watched.early_timeout
             if not silent or not watched.begun or not watched.path.uses(unheard):
                 continue
             if job.may_move and self.finder.is_idle(job, unheard):
@@ -278,7 +278,7 @@
         does not share the fate of those that fell silent together.
         """
         used = {p.address for w in self.watch.streams for p in w.path.parts}
-        heard = self.watch.last_heard(besides=part.address)
+        heard = self.watch.last_active(exclude=part.address)
         unused = self.finder.unused(used | {part.address})
         return [address for address in (heard, unused) if address is not None]
 
@@ -303,11 +303,11 @@
         for watched in list(self.jobs):
             # Events that flow refute the suspicion; one that falls silent later is
             # seen at the next look.
-            silent = now - watched.progressed_at > watched.early_patience
+            silent = now - watched.progressed_at > watched.early_timeout
             if silent and watched.path.uses(endpoints):
                 self._move(watched, endpoints)
 
-    def _move(self, watched: Watched, endpoints: set[str]) -> None:
+    def _move(self, watched: WatchedStream, endpoints: set[str]) -> None:
         """Send a stream on elsewhere, if it may go on at all."""
         job = self.jobs[watched]
         if job.may_move and job.current is not None:
