--- a/packages/core/src/lacewingcourse/core/pipelines/fleet.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/fleet.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.incarnation import UNTOLD, Incarnation
+from lacewingcourse.core.pipelines.incarnation import UNKNOWN_START, Incarnation
 from lacewingcourse.core.pipelines.shape import Layers
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
         weights: Version of the weights that it holds.
         placeable: Whether it runs a model in parts, so that layers are placed on it.
         name: Name under which it registers; its later incarnations have the same.
-        born: Unix milliseconds of its start, `UNTOLD` if it does not tell.
+        born: Unix milliseconds of its start, `UNKNOWN_START` if it does not tell.
         sequence: Counts the entries that this incarnation wrote.
     """
 
@@ -64,7 +64,7 @@
     weights: int = 0
     placeable: bool = False
     name: str = attrs.field(default=attrs.Factory(lambda e: e.id, takes_self=True))
-    born: int = UNTOLD
+    born: int = UNKNOWN_START
     sequence: int = attrs.field(default=0, eq=False)
 
     @property
@@ -88,7 +88,7 @@
         Counts start anew with the endpoint, so they are compared only where both tell
         the same start.
         """
-        if self.born == known.born and self.born != UNTOLD:
+        if self.born == known.born and self.born != UNKNOWN_START:
             return self.sequence < known.sequence
         return self.incarnation.is_outdated(known.incarnation)
 
--- a/packages/core/src/lacewingcourse/core/pipelines/freshness.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/freshness.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable
 
 #: Age in seconds that is told of knowledge that there never was.
-NEVER = 1e6
+UNKNOWN_AGE = 1e6
 #: Seconds after which a source that gave no answer is asked again, at first and at the
 #: most. The longest leaves time to pass on what one entry reads within two seconds.
 MIN_RETRY_DELAY = 0.25
@@ -50,7 +50,7 @@
 #: What is left is for one read and its answer.
 WAIT_SHARE = 0.25
 TAKEOVER_SHARE = 0.4
-LAST_SHARE = 0.45
+MAX_AGE_SHARE = 0.45
 #: Share of it that each further entry waits longer.
 STEP_SHARE = 0.0125
 #: Share of it after which something that is not known may have come meanwhile. No entry
@@ -79,9 +79,9 @@
         return WAIT_SHARE * self.bound
 
     @property
-    def last(self) -> float:
+    def max_age(self) -> float:
         """Age in seconds at which every entry reads."""
-        return LAST_SHARE * self.bound
+        return MAX_AGE_SHARE * self.bound
 
     @property
     def stale(self) -> float:
@@ -96,9 +96,9 @@
 
     def apply(self, freshness: Freshness) -> None:
         """Set the ages at which entries read themselves."""
-        freshness.patience = TAKEOVER_SHARE * self.bound
-        freshness.step = STEP_SHARE * self.bound
-        freshness.last = self.last
+        freshness.takeover_age = TAKEOVER_SHARE * self.bound
+        freshness.takeover_step = STEP_SHARE * self.bound
+        freshness.max_age = self.max_age
 
 
 @attrs.define
@@ -119,9 +119,9 @@
         failures: Failed reads in succession.
     """
 
-    patience: float
-    step: float
-    last: float = float("inf")
+    takeover_age: float
+    takeover_step: float
+    max_age: float = float("inf")
     confirmed_at: float = float("-inf")
     next_try: float = float("-inf")
     retry_delay: Callable[[int, float], float] = backoff_delay
@@ -166,9 +166,9 @@
             return False
         if rank == 0:
             return True
-        patience = self.patience + self.step * (rank - 1)
-        return now - self.confirmed_at > min(patience, self.last)
+        takeover_age = self.takeover_age + self.takeover_step * (rank - 1)
+        return now - self.confirmed_at > min(takeover_age, self.max_age)
 
     def age(self, now: float) -> float:
         """Return how old the knowledge is, in seconds."""
-        return min(NEVER, now - self.confirmed_at)
+        return min(UNKNOWN_AGE, now - self.confirmed_at)
--- a/packages/core/src/lacewingcourse/core/pipelines/incarnation.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/incarnation.py
@@ -7,7 +7,7 @@
 #: Between the name and the start in an identifier.
 SEPARATOR = "@"
 #: Start of an endpoint that does not tell when it started.
-UNTOLD = 0
+UNKNOWN_START = 0
 
 
 @attrs.frozen
@@ -21,16 +21,16 @@
 
     Attributes:
         name: Name under which the endpoint registers.
-        born: Unix milliseconds of its start, `UNTOLD` if it does not tell.
+        born: Unix milliseconds of its start, `UNKNOWN_START` if it does not tell.
     """
 
     name: str
-    born: int = UNTOLD
+    born: int = UNKNOWN_START
 
     @property
     def id(self) -> str:
         """Identifier of the incarnation; the bare name if its start is untold."""
-        if self.born == UNTOLD:
+        if self.born == UNKNOWN_START:
             return self.name
         return f"{self.name}{SEPARATOR}{self.born}"
 
--- a/packages/core/tests/pipelines/test_peers.py
+++ b/packages/core/tests/pipelines/test_peers.py
@@ -52,7 +52,7 @@
 
 
 def test_the_first_entry_reads_and_the_others_when_their_knowledge_ages():
-    freshness = Freshness(patience=1.0, step=0.1)
+    freshness = Freshness(takeover_age=1.0, takeover_step=0.1)
     freshness.confirm(10.0)
     assert freshness.due(0, now=10.0)
     assert not freshness.due(1, now=11.0)
@@ -62,21 +62,21 @@
 
 
 def test_a_failed_read_is_not_repeated_at_once():
-    freshness = Freshness(patience=1.0, step=0.1)
+    freshness = Freshness(takeover_age=1.0, takeover_step=0.1)
     freshness.failed(now=5.0, draw=0.0)
     assert not freshness.due(0, now=5.0 + MIN_RETRY_DELAY - 0.01)
     assert freshness.due(0, now=5.0 + MIN_RETRY_DELAY)
 
 
 def test_confirmation_never_goes_back():
-    freshness = Freshness(patience=1.0, step=0.1)
+    freshness = Freshness(takeover_age=1.0, takeover_step=0.1)
     freshness.confirm(10.0)
     freshness.confirm(9.0)
     assert freshness.age(10.0) == 0.0
 
 
 def test_knowledge_from_before_a_freeze_is_read_again():
-    freshness = Freshness(patience=1.0, step=0.1)
+    freshness = Freshness(takeover_age=1.0, takeover_step=0.1)
     freshness.confirm(10.0)
     for _ in range(4):
         freshness.failed(now=10.0, draw=0.0)
--- a/packages/core/tests/pipelines/test_version_fleet.py
+++ b/packages/core/tests/pipelines/test_version_fleet.py
@@ -49,7 +49,7 @@
 
 def promised(bound: float) -> float:
     """Return the seconds after which an entry knows a version by its own reads."""
-    return PropagationBudget(bound).last + LOOK + 3 * DELAY
+    return PropagationBudget(bound).max_age + LOOK + 3 * DELAY
 
 
 def play(fleet: VersionFleet, *troubles) -> float:
@@ -93,8 +93,8 @@
 @pytest.mark.parametrize("bound", [2.0, 3.0, 4.0, 6.0])
 def test_the_last_entry_to_read_has_time_for_one_call(bound):
     budget = PropagationBudget(bound)
-    assert budget.last + LOOK + CALL_TIMEOUT <= bound
-    assert budget.wait < budget.freshness().patience < budget.last
+    assert budget.max_age + LOOK + CALL_TIMEOUT <= bound
+    assert budget.wait < budget.freshness().takeover_age < budget.max_age
 
 
 class HistoryFleet(VersionFleet):
@@ -114,7 +114,7 @@
         return self.now
 
 
-class UnstampedFleet(VersionFleet):
+class ArrivalStampFleet(VersionFleet):
     """Entries that take news to be composed when they arrive."""
 
     def composed_at(self, entry, news):
@@ -127,11 +127,13 @@
     def add(self, name, zone):
         super().add(name, zone)
         freshness = self.entries[name].freshness
-        freshness.patience, freshness.last = 0.95 * self.budget.bound, float("inf")
+        freshness.takeover_age, freshness.max_age = 0.95 * self.budget.bound, float(
+            "inf"
+        )
 
 
 @pytest.mark.parametrize(
-    "mutant", [HistoryFleet, ArrivalFleet, UnstampedFleet, PatientFleet]
+    "mutant", [HistoryFleet, ArrivalFleet, ArrivalStampFleet, PatientFleet]
 )
 def test_the_play_tells_fleets_that_are_late(mutant):
     zones, bound = FEW
--- a/packages/relay/src/lacewingcourse/relay/ports.py
+++ b/packages/relay/src/lacewingcourse/relay/ports.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.incarnation import UNTOLD
+from lacewingcourse.core.pipelines.incarnation import UNKNOWN_START
 from lacewingcourse.core.pipelines.request_limits import NO_LIMIT
 
 if TYPE_CHECKING:
@@ -301,14 +301,14 @@
     Attributes:
         stalled: Requests that stand still at it as the first of their path.
         pace: Times that its steps take as long as published.
-        born: Unix milliseconds of its start, `UNTOLD` if it does not tell.
+        born: Unix milliseconds of its start, `UNKNOWN_START` if it does not tell.
         accepted: Orders that it has accepted since its start, None if it does not tell.
         busy: Whether it is carrying one out.
     """
 
     stalled: tuple[StalledRequest, ...] = ()
     pace: float = 1.0
-    born: int = UNTOLD
+    born: int = UNKNOWN_START
     accepted: int | None = None
     busy: bool = False
 
--- a/packages/relay/tests/relay/test_configuration_follower.py
+++ b/packages/relay/tests/relay/test_configuration_follower.py
@@ -127,5 +127,5 @@
     Application._put_budgets(entry, SimpleNamespace(configuration=6.0, departure=4.0))
     assert not follower.freshness.due(1, 101.0)
     assert follower.freshness.due(1, 100.0 + 6.0 / 2)
-    assert directory.freshness.last == PropagationBudget(4.0).last
+    assert directory.freshness.max_age == PropagationBudget(4.0).max_age
     assert guard.limit == PropagationBudget(6.0).stale
