--- a/packages/bench/src/lacewingcourse/bench/pipeline_play.py
+++ b/packages/bench/src/lacewingcourse/bench/pipeline_play.py
@@ -16,7 +16,7 @@
 import attrs
 
 from lacewingcourse.core.errors import Refusal
-from lacewingcourse.core.pipelines.admission_queue import WAITS, retry_after
+from lacewingcourse.core.pipelines.admission_queue import WAIT_POLICIES, retry_after
 from lacewingcourse.core.pipelines.capacity import InTurn, fleet_bound
 from lacewingcourse.core.pipelines.choice import Demand, PathChooser
 from lacewingcourse.core.pipelines.layout import plan_layout
@@ -180,7 +180,7 @@
     ) -> None:
         self.plan = plan
         self.callers = callers
-        self.wait = WAITS.get(callers.wait)
+        self.wait = WAIT_POLICIES.get(callers.wait)
         self.shape = plan.shape
         self.choose = CHOICES.get(choice)
         self.rate = rate
--- a/packages/core/src/lacewingcourse/core/pipelines/admission_queue.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/admission_queue.py
@@ -17,32 +17,32 @@
 #: Objectives for which a request waits that is served late rather than refused.
 LATE_OBJECTIVES = 2.0
 #: Seconds that an answer is taken to last of a route of which few were seen.
-USUAL_ANSWER = 2.0
+DEFAULT_ANSWER_TIME = 2.0
 #: Answers that pass until a refused request is asked to come back, at the least and at
 #: the most. By then what fills the paths now has ended; jitter keeps callers refused
 #: together from returning together.
 RETRY_AFTER_ANSWERS = (1.0, 2.5)
 #: Seconds after which a request may come back that lacks nothing but a retry, at the
 #: least and at the most.
-DENIED_RETRY_AFTER = (0.05, 0.15)
+EXHAUSTED_RETRY_AFTER = (0.05, 0.15)
 #: Seconds over which callers are spread whose requests a limit kept out together.
-LIMITED_SPREAD = 1.0
+LIMIT_RETRY_JITTER = 1.0
 #: Silence after which a caller leaves: the longest of some seconds, some objectives of
 #: its route, and some times the pause that it allows between two events.
-LEAST_PATIENCE = 2.0
-PATIENCE_OBJECTIVES = 4.0
-PATIENCE_PAUSES = 8.0
+MIN_CALLER_TIMEOUT = 2.0
+CALLER_TIMEOUT_OBJECTIVES = 4.0
+CALLER_TIMEOUT_GAPS = 8.0
 #: Seconds beyond it for which a stream that broke waits for a path, so that the answer
 #: is never ended from here while its caller reads on.
-PATIENCE_MARGIN = 0.2
+CALLER_TIMEOUT_MARGIN = 0.2
 
 
 #: How long a request without a path waits for one: returns the time at which it is
 #: refused, from the time at which it came and its objective in seconds.
-WAITS: Registry[Callable[[float, float], float]] = Registry("wait for room")
+WAIT_POLICIES: Registry[Callable[[float, float], float]] = Registry("wait for room")
 
 
-@WAITS.register("in_time")
+@WAIT_POLICIES.register("in_time")
 def wait_in_time(received: float, objective: float) -> float:
     """Wait as long as the answer can still be in time.
 
@@ -53,23 +53,25 @@
     return received + IN_TIME_SHARE * objective
 
 
-@WAITS.register("late")
+@WAIT_POLICIES.register("late")
 def wait_late(received: float, objective: float) -> float:
     """Wait for two objectives: late answers rather than refusals."""
     return received + LATE_OBJECTIVES * objective
 
 
-def continued_wait(objective: float, gap: float) -> float:
+def resume_timeout(objective: float, gap: float) -> float:
     """Return the seconds of silence for which a stream that broke waits for a path.
 
     Args:
         objective: Seconds in which its route wants the first event.
         gap: Seconds that its route allows between two events.
     """
-    patience = max(
-        LEAST_PATIENCE, PATIENCE_OBJECTIVES * objective, PATIENCE_PAUSES * gap
+    caller_timeout = max(
+        MIN_CALLER_TIMEOUT,
+        CALLER_TIMEOUT_OBJECTIVES * objective,
+        CALLER_TIMEOUT_GAPS * gap,
     )
-    return patience + PATIENCE_MARGIN
+    return caller_timeout + CALLER_TIMEOUT_MARGIN
 
 
 def retry_after(answer: float | None, draw: float) -> float:
@@ -80,10 +82,10 @@
         draw: A number from 0 to 1 that spreads the callers.
     """
     least, most = RETRY_AFTER_ANSWERS
-    return (least + draw * (most - least)) * (answer or USUAL_ANSWER)
+    return (least + draw * (most - least)) * (answer or DEFAULT_ANSWER_TIME)
 
 
-def retry_after_denied(draw: float) -> float:
+def retry_after_exhausted(draw: float) -> float:
     """Return the seconds after which a request comes back that lacks a retry.
 
     The caller's new request is a first send and needs none.
@@ -91,7 +93,7 @@
     Args:
         draw: A number from 0 to 1 that spreads the callers.
     """
-    least, most = DENIED_RETRY_AFTER
+    least, most = EXHAUSTED_RETRY_AFTER
     return least + draw * (most - least)
 
 
@@ -102,7 +104,7 @@
         next_in: Seconds until an endpoint takes a request.
         draw: A number from 0 to 1 that spreads the callers.
     """
-    return next_in + draw * LIMITED_SPREAD
+    return next_in + draw * LIMIT_RETRY_JITTER
 
 
 @attrs.define(eq=False)
@@ -133,22 +135,22 @@
         members: The requests.
     """
 
-    members: list[QueuedRequest] = attrs.field(factory=list)
+    requests: list[QueuedRequest] = attrs.field(factory=list)
 
     def push(self, request: QueuedRequest) -> None:
         """Take a request."""
-        self.members.append(request)
-        self.members.sort(key=lambda queued: (queued.urgency, queued.since))
+        self.requests.append(request)
+        self.requests.sort(key=lambda queued: (queued.urgency, queued.since))
 
     def discard(self, request: QueuedRequest) -> None:
         """Let a request go."""
-        if request in self.members:
-            self.members.remove(request)
+        if request in self.requests:
+            self.requests.remove(request)
 
-    def has_precedence(self, urgency: int, now: float) -> bool:
+    def may_bypass(self, urgency: int, now: float) -> bool:
         """Tell whether a newcomer may take room before those that wait."""
-        for member in self.members:
-            half = member.since + (member.until - member.since) / 2
-            if member.urgency <= urgency and half <= now < member.until:
+        for queued in self.requests:
+            half = queued.since + (queued.until - queued.since) / 2
+            if queued.urgency <= urgency and half <= now < queued.until:
                 return False
         return True
--- a/packages/core/src/lacewingcourse/core/pipelines/capacity.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/capacity.py
@@ -8,7 +8,7 @@
 
 from lacewingcourse.core.errors import Refusal
 from lacewingcourse.core.pipelines.choice import Demand, PathChooser
-from lacewingcourse.core.pipelines.interruption import finish
+from lacewingcourse.core.pipelines.cooperative import run_to_completion
 from lacewingcourse.core.pipelines.links import LinkUsage
 from lacewingcourse.core.pipelines.load import LoadBook
 from lacewingcourse.core.pipelines.path import candidate_paths
@@ -82,7 +82,7 @@
         shape: Published figures of their engines.
         rng: Source of draws among equal paths.
     """
-    return finish(fill_fleet(endpoints, shape, rng))
+    return run_to_completion(fill_fleet(endpoints, shape, rng))
 
 
 def fill_fleet(
--- a/packages/core/src/lacewingcourse/core/pipelines/interruption.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/cooperative.py
@@ -7,10 +7,10 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
-Found = TypeVar("Found")
+Result = TypeVar("Found")
 
 
-def finish(search: Generator[None, None, Found]) -> Found:
+def run_to_completion(search: Generator[None, None, Result]) -> Result:
     """Return what a search finds, without interruption."""
     while True:
         try:
--- a/packages/core/src/lacewingcourse/core/pipelines/copies.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/copies.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.interruption import finish
+from lacewingcourse.core.pipelines.cooperative import run_to_completion
 from lacewingcourse.core.pipelines.shape import MEGABYTE, Layers
 
 if TYPE_CHECKING:
@@ -66,7 +66,7 @@
     For each number of copies that fits, with each bound on their memory, the one with
     the most memory.
     """
-    return finish(search_copies(endpoints, shape))
+    return run_to_completion(search_copies(endpoints, shape))
 
 
 def search_copies(
--- a/packages/core/src/lacewingcourse/core/pipelines/events.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/events.py
@@ -5,11 +5,11 @@
 import attrs
 
 #: Bytes of an event beyond which a stream is given up as not one of events.
-LONGEST_EVENT = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 @attrs.define
-class EventCutter:
+class EventSplitter:
     """Cuts the bytes of a stream into whole events.
 
     Attributes:
@@ -20,7 +20,7 @@
 
     pending: bytes = b""
     last_id: str = ""
-    passed: int = 0
+    forwarded: int = 0
 
     def feed(self, data: bytes) -> bytes:
         """Take bytes; return the whole events that may be passed on.
@@ -32,33 +32,33 @@
         end = self._end()
         if end < 0:
             return b""
-        whole, self.pending = self.pending[:end], self.pending[end:]
-        return b"".join(filter(self._takes, _split(whole)))
+        complete, self.pending = self.pending[:end], self.pending[end:]
+        return b"".join(filter(self._accept, _split(complete)))
 
-    def restart(self) -> None:
+    def discard_pending(self) -> None:
         """Drop an event that was cut in the middle, before another run goes on."""
         self.pending = b""
 
     @property
-    def overgrown(self) -> bool:
+    def oversized(self) -> bool:
         """Whether the pending bytes can be no event."""
-        return len(self.pending) > LONGEST_EVENT
+        return len(self.pending) > MAX_EVENT_BYTES
 
     def _end(self) -> int:
         """Return the end of the last whole event in the pending bytes, or -1."""
-        plain = self.pending.rfind(b"\n\n")
-        carriage = self.pending.rfind(b"\r\n\r\n")
-        ends = [plain + 2 if plain >= 0 else -1, carriage + 4 if carriage >= 0 else -1]
+        lf = self.pending.rfind(b"\n\n")
+        crlf = self.pending.rfind(b"\r\n\r\n")
+        ends = [lf + 2 if lf >= 0 else -1, crlf + 4 if crlf >= 0 else -1]
         return max(ends)
 
-    def _takes(self, event: bytes) -> bool:
+    def _accept(self, event: bytes) -> bool:
         """Note an event; tell whether it is to be passed on."""
         found = event_id(event)
         if found is not None:
             if not _is_after(found, self.last_id):
                 return False
             self.last_id = found
-        self.passed += 1
+        self.forwarded += 1
         return True
 
 
@@ -77,8 +77,8 @@
     return found != last
 
 
-def _split(whole: bytes) -> list[bytes]:
+def _split(complete: bytes) -> list[bytes]:
     """Return the events of a run of whole events, with their ends."""
-    separator = b"\r\n\r\n" if b"\r\n\r\n" in whole else b"\n\n"
-    parts = whole.split(separator)
+    separator = b"\r\n\r\n" if b"\r\n\r\n" in complete else b"\n\n"
+    parts = complete.split(separator)
     return [part + separator for part in parts if part]
--- a/packages/core/src/lacewingcourse/core/pipelines/improvement.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/improvement.py
@@ -7,8 +7,8 @@
 
 import attrs
 
+from lacewingcourse.core.pipelines.cooperative import run_to_completion
 from lacewingcourse.core.pipelines.copies import Assignment, slowness
-from lacewingcourse.core.pipelines.interruption import finish
 from lacewingcourse.core.pipelines.layout import (
     groups_of,
     search_layout,
@@ -32,7 +32,7 @@
     endpoints: list[Endpoint], shape: EngineShape, quiet: float, turn: int
 ) -> list[Assignment]:
     """Return moves that pay and can be made now, see `search_improvement`."""
-    return finish(search_improvement(endpoints, shape, quiet, turn))
+    return run_to_completion(search_improvement(endpoints, shape, quiet, turn))
 
 
 def search_improvement(
--- a/packages/core/src/lacewingcourse/core/pipelines/layout.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/layout.py
@@ -9,6 +9,7 @@
 import attrs
 
 from lacewingcourse.core.pipelines.capacity import InTurn, fill_fleet
+from lacewingcourse.core.pipelines.cooperative import run_to_completion
 from lacewingcourse.core.pipelines.copies import (
     LEAST_REQUESTS,
     Assignment,
@@ -16,7 +17,6 @@
     slowness,
     span_for,
 )
-from lacewingcourse.core.pipelines.interruption import finish
 from lacewingcourse.core.pipelines.layer_memory import layer_strength, token_capacity
 from lacewingcourse.core.pipelines.rating import estimated_rate
 from lacewingcourse.core.pipelines.shape import Layers
@@ -54,7 +54,7 @@
         endpoints: Endpoints that take new work.
         shape: Published figures of the engines.
     """
-    return finish(search_layout(endpoints, shape))
+    return run_to_completion(search_layout(endpoints, shape))
 
 
 def search_layout(endpoints: list[Endpoint], shape: EngineShape) -> Search:
@@ -207,7 +207,7 @@
 
 def rate_of(endpoints: list[Endpoint], shape: EngineShape) -> float:
     """Return the usual requests a second that endpoints with their layers serve."""
-    return finish(search_rate(endpoints, shape))
+    return run_to_completion(search_rate(endpoints, shape))
 
 
 def search_rate(endpoints: list[Endpoint], shape: EngineShape) -> Rating:
--- a/packages/relay/src/lacewingcourse/relay/admission.py
+++ b/packages/relay/src/lacewingcourse/relay/admission.py
@@ -11,7 +11,7 @@
 from lacewingcourse.core.pipelines.admission_queue import (
     AdmissionQueue,
     QueuedRequest,
-    continued_wait,
+    resume_timeout,
     wait_in_time,
 )
 
@@ -74,7 +74,7 @@
     def _queued(self, job: Job, demand: Demand, now: float) -> QueuedRequest:
         """Return how long a request waits."""
         if job.caller.begun:
-            patience = continued_wait(job.route.objective, job.route.gap)
+            patience = resume_timeout(job.route.objective, job.route.gap)
             until = job.progressed_at + patience
         else:
             until = self.wait(job.request.received_at, job.route.objective)
@@ -83,7 +83,7 @@
     def _now(
         self, job: Job, choose: Callable[[], Path | Refusal], now: float
     ) -> Path | Refusal:
-        if not self.queue.has_precedence(job.urgency, now) and not job.caller.begun:
+        if not self.queue.may_bypass(job.urgency, now) and not job.caller.begun:
             return Refusal(ErrorKind.OVERLOADED, "others wait for room")
         return choose()
 
--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -11,7 +11,7 @@
 
 from tornado.httpserver import HTTPServer
 
-from lacewingcourse.core.pipelines.admission_queue import WAITS
+from lacewingcourse.core.pipelines.admission_queue import WAIT_POLICIES
 from lacewingcourse.core.pipelines.freshness import RETRY_DELAYS, PropagationBudget
 from lacewingcourse.core.pipelines.limit_sharing import LIMIT_SHARING_POLICIES
 from lacewingcourse.core.pipelines.peers import PeerTable
@@ -137,7 +137,7 @@
         )
         zone = self.settings.zone
         calls = CallForwarder(self.beliefs, sender, self.budget, zone, rng, self.log)
-        self.admission = Admission(self.clock, WAITS.get(self.settings.wait))
+        self.admission = Admission(self.clock, WAIT_POLICIES.get(self.settings.wait))
         finder = PathFinder(self.beliefs, rng, self.clock, self.pool)
         self.stalls = StallWatcher(
             self.platform.reports,
--- a/packages/relay/src/lacewingcourse/relay/stream_run.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_run.py
@@ -135,7 +135,7 @@
     def take(self, data: bytes) -> None:
         """Take bytes of the run, and pass on the events that are whole."""
         self._pass_on(self.state.cutter.feed(data))
-        if self.state.cutter.overgrown:
+        if self.state.cutter.oversized:
             self.exchange.arrivals.put_nowait(End(False, "bytes that are no events"))
 
     def _look_at(self, now: float) -> float:
--- a/packages/relay/src/lacewingcourse/relay/stream_state.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_state.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from lacewingcourse.core.pipelines.choice import Demand
-    from lacewingcourse.core.pipelines.events import EventCutter
+    from lacewingcourse.core.pipelines.events import EventSplitter
     from lacewingcourse.core.pipelines.path import Path
     from lacewingcourse.core.pipelines.shape import EngineShape
     from lacewingcourse.relay.connections import Connection
@@ -110,7 +110,7 @@
     job: Job
     shape: EngineShape
     demand: Demand
-    cutter: EventCutter
+    cutter: EventSplitter
     head: AnswerHead | None = None
     quiet_since: float = 0.0
     failure: WholeAnswer | None = None
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -10,10 +10,10 @@
 from lacewingcourse.core.errors import ErrorKind, Outcome, Refusal
 from lacewingcourse.core.pipelines.admission_queue import (
     retry_after,
-    retry_after_denied,
+    retry_after_exhausted,
     retry_after_limit,
 )
-from lacewingcourse.core.pipelines.events import EventCutter
+from lacewingcourse.core.pipelines.events import EventSplitter
 from lacewingcourse.core.pipelines.suspects import is_full
 from lacewingcourse.relay.admission import RETRY_PERIOD
 from lacewingcourse.relay.connections import (
@@ -79,7 +79,7 @@
 
     async def serve(self, job: Job, shape: EngineShape) -> Refusal | None:
         """Forward a stream; return why its answer is not whole, if it is not."""
-        cutter = EventCutter(last_id=job.request.resume_after)
+        cutter = EventSplitter(last_id=job.request.resume_after)
         state = StreamState(job, shape, demand_of(job, shape), cutter)
         try:
             return await self._serve(state)
@@ -255,7 +255,7 @@
             self.stalls.begin(job, self.sender.clock())
             if job.caller.gone:
                 job.caller_gone()
-            state.cutter.restart()
+            state.cutter.discard_pending()
             mover = Mover(self, state, job.path)
             run = StreamRun(
                 state, sent, self.sender, self.stalls, self.log, mover, head
@@ -376,5 +376,5 @@
         """Return the seconds after which the caller of a refused request comes back."""
         draw = self.rng.random()
         if kind is ErrorKind.RETRIES_EXHAUSTED:
-            return retry_after_denied(draw)
+            return retry_after_exhausted(draw)
         return retry_after(self.beliefs.durations.usual(job.route.name), draw)
--- a/packages/relay/tests/relay/test_admission.py
+++ b/packages/relay/tests/relay/test_admission.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lacewingcourse.core.errors import ErrorKind, Refusal
-from lacewingcourse.core.pipelines.admission_queue import IN_TIME_SHARE, continued_wait
+from lacewingcourse.core.pipelines.admission_queue import IN_TIME_SHARE, resume_timeout
 from lacewingcourse.core.pipelines.choice import Demand
 from lacewingcourse.relay.admission import Admission
 
@@ -69,7 +69,7 @@
 )
 def test_a_stream_that_broke_waits_longer_than_its_caller(objective, gap, leaves_after):
     """With one time for all routes, callers that would have read on were cut off."""
-    assert continued_wait(objective, gap) > leaves_after
+    assert resume_timeout(objective, gap) > leaves_after
 
 
 def test_room_that_comes_is_taken(monkeypatch):
@@ -83,7 +83,7 @@
     job = make_job(begun=False)
     path = asyncio.run(admission.path_for(job, DEMAND, lambda: next(found)))
     assert path == "path"
-    assert admission.queue.members == []
+    assert admission.queue.requests == []
 
 
 @pytest.mark.parametrize(("next_in", "waits"), [(0.0, True), (0.1, True), (0.5, False)])
