--- a/packages/relay/src/lacewingcourse/relay/settings.py
+++ b/packages/relay/src/lacewingcourse/relay/settings.py
@@ -45,7 +45,8 @@
         bounds: Limits that are promised.
         first_start: Whether all entries start for the first time, so that no process
             ran before this one.
-        wait: Name of how long a request waits for room, see `admission_queue.WAIT_POLICIES`.
+        wait: Name of how long a request waits for room, see
+            `admission_queue.WAIT_POLICIES`.
         retry_sharing: Name of how entries share retries, see
             `retry_budget.RETRY_SHARING_POLICIES`.
         store_retry: Name of when a source that gave no answer is asked again, see
