--- a/packages/core/src/lacewingcourse/core/pipelines/peers.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/peers.py
@@ -1,4 +1,4 @@
-"""Other entries: which are alive, who speaks with whom, and who reads for the rest."""
+"""Membership of the other entries: liveness, gossip targets and reader ranks."""
 
 from __future__ import annotations
 
@@ -14,28 +14,30 @@
     first_ready,
 )
 
-#: Seconds after which an entry that was not heard is taken to be gone. Entries speak
-#: several times a second; a freeze or a cut of a second must not be missed by all.
+#: Seconds without a message after which an entry counts as gone. Entries exchange
+#: messages several times a second; a shorter timeout would make all peers drop an entry
+#: that freezes or is cut off for a second.
 PEER_SILENCE_TIMEOUT = 1.2
 #: Seconds for which the address of a silent entry is still tried.
 PEER_RETENTION = 20.0
-#: Entries up to which each speaks with every other one. Loads then arrive within one
-#: round; the messages of a round grow with the square of the entries.
+#: Largest number of entries at which each one exchanges messages with every other one.
+#: Loads then arrive within one round, but the messages of a round grow with the square
+#: of the entries.
 MAX_FULL_MESH = 9
-#: Entries that one speaks to in a round at the most.
+#: Entries that one contacts in a round at most.
 MAX_PEERS_PER_ROUND = MAX_FULL_MESH - 1
-#: Entries of an availability zone that speak for it. Two, so that the loss of one is
-#: noticed by nobody.
+#: Hubs of an availability zone: entries that exchange messages with other zones. With
+#: two, the loss of one goes unnoticed.
 HUBS_PER_ZONE = 2
-#: Silent entries that are tried in one round of a large deployment.
+#: Silent entries that are probed in one round of a large deployment.
 MAX_SILENT_PER_ROUND = 2
-#: Rank from which those count that are no hubs. Above the hubs of today's zones, so
-#: that they read the platform only when all hubs have fallen silent.
+#: Lowest rank of an entry that is no hub. The hubs of four availability zones rank
+#: below it, so members there read from the platform only when all hubs are silent.
 MEMBER_RANK = 8
 
 
 class Role(Enum):
-    """How an entry takes part in the exchange between entries."""
+    """Part that an entry has in the exchange between entries."""
 
     EQUAL = "equal"
     HUB = "hub"
@@ -48,16 +50,19 @@
 
     Attributes:
         name: Its name.
-        address: Address for entries.
+        address: Its address for other entries.
         zone: Its availability zone, empty while unknown.
-        heard_at: When it was last heard, seconds; minus infinity before.
-        known_since: When its address was learned.
-        leaving: Whether it is ending.
-        leaving_since: When it was first heard to be ending, None if it is not.
-        ends_at: When it told that it is expected to have ended, None if it did not.
-        back_since: When it was first heard again after it had been ending, minus
-            infinity if it was not ending.
-        reads: Whether the platform answers it, as far as it told.
+        heard_at: When its last message arrived, seconds; minus infinity before the
+            first.
+        known_since: When its address was learned, seconds.
+        leaving: Whether it is shutting down.
+        leaving_since: When it first reported that it is shutting down, None if it is
+            not.
+        ends_at: When it expects to have ended, as it reported, seconds; None if it did
+            not report that.
+        returned_at: When it first reported to be running after a shutdown, seconds;
+            minus infinity if it was not shutting down.
+        reads: Whether the platform answers it, as it last reported.
     """
 
     name: str
@@ -72,7 +77,7 @@
     reads: bool = True
 
     def mark_alive(self, heard_at: float) -> None:
-        """Note that it was heard when it was not ending."""
+        """Record that it was alive and not shutting down at a time."""
         if self.leaving:
             self.returned_at = heard_at
         self.heard_at = heard_at
@@ -80,10 +85,11 @@
         self.leaving_since = self.ends_at = None
 
     def mark_leaving(self, ends_in: float | None, now: float) -> None:
-        """Note that it was heard to be ending.
+        """Record a message in which it reports to be shutting down.
 
         Args:
-            ends_in: Seconds until it expects to have ended, None if it does not tell.
+            ends_in: Seconds until it expects to have ended, None if it does not report
+                that.
             now: Present time in seconds.
         """
         self.heard_at = now
@@ -95,10 +101,11 @@
     def expected_end_time(self, grace: float, now: float) -> float:
         """Return when it is expected to have ended, seconds.
 
-        One that fell silent while ending has ended with its last word.
+        One that falls silent while shutting down is taken to have ended within a gossip
+        period of its last message.
 
         Args:
-            grace: Seconds in which an entry that is ending must have ended.
+            grace: Seconds in which an entry that is shutting down must have ended.
             now: Present time in seconds.
         """
         ends_at = self.ends_at
@@ -113,16 +120,16 @@
 class PeerTable:
     """The other entries that are known.
 
-    A few entries all speak with one another. Many speak through hubs: each one with
-    the hubs of its zone, and hubs with those of the other zones, so that the messages
-    of an entry do not grow with the deployment.
+    A few entries form a full mesh. Many communicate through hubs: each entry with the
+    hubs of its zone, and hubs with those of the other zones, so that the messages of an
+    entry do not grow with the deployment.
 
     Attributes:
         name: Name of this entry.
         zone: Its availability zone.
         peers: Others by name.
-        counts: Entries alive in each other zone, as its hubs told.
-        turn: Rounds so far.
+        counts: Entries alive in each other zone, as reported by its hubs.
+        round_count: Gossip rounds so far; it selects whose turn it is.
     """
 
     name: str
@@ -132,7 +139,7 @@
     round_count: int = 0
 
     def set_address(self, name: str, address: str, now: float, zone: str = "") -> None:
-        """Take the address of an entry."""
+        """Add an entry, or update its address or availability zone."""
         if name == self.name:
             return
         known = self.peers.get(name)
@@ -151,15 +158,16 @@
         ends_in: float | None = None,
         reads: bool = True,
     ) -> None:
-        """Note that an entry was heard.
+        """Record a message of an entry.
 
         Args:
             name: Its name.
-            address: Its address for entries.
-            leaving: Whether it is ending.
+            address: Its address for other entries.
+            leaving: Whether it is shutting down.
             now: Present time in seconds.
             zone: Its availability zone, empty if unknown.
-            ends_in: Seconds until it expects to have ended, None if it does not tell.
+            ends_in: Seconds until it expects to have ended, None if it does not report
+                that.
             reads: Whether the platform answers it.
         """
         if name == self.name:
@@ -175,10 +183,18 @@
     def record_report(
         self, name: str, address: str, zone: str, age: float, now: float
     ) -> None:
-        """Note that another entry heard an entry some seconds ago.
+        """Record that a peer received a message of an entry some seconds ago.
 
-        The age does not count the way of the message, so the word of an ending entry
-        itself is believed as long as it is heard.
+        The age leaves out the time that the report took to arrive. A late report must
+        not mark an entry as running again, so while its own messages arrive, an entry
+        that is shutting down stays so until it reports otherwise itself.
+
+        Args:
+            name: Name of the entry.
+            address: Its address for other entries.
+            zone: Its availability zone, empty if unknown.
+            age: Seconds since the peer received the message.
+            now: Present time in seconds.
         """
         if name == self.name:
             return
@@ -190,7 +206,7 @@
             known.mark_alive(now - age)
 
     def alive(self, now: float) -> list[str]:
-        """Return the names of the entries known to be alive, this one among them."""
+        """Return the names of the entries known to be alive, this one included."""
         heard = [
             peer.name
             for peer in self.peers.values()
@@ -201,13 +217,13 @@
     def first_ready(
         self, grace: float, now: float, own_end: float | None = None
     ) -> Restart | None:
-        """Return the entry that callers are sent to first, None if they are to one.
+        """Return the entry that callers will be sent to first, None if one serves now.
 
         Args:
-            grace: Seconds in which an entry that is ending must have ended.
+            grace: Seconds in which an entry that is shutting down must have ended.
             now: Present time in seconds.
             own_end: When this entry is expected to have ended, None if it is not
-                ending.
+                shutting down.
         """
         alive = [self.peers[name] for name in self.alive(now) if name != self.name]
         if any(now - peer.returned_at >= ROTATION_TIME for peer in alive):
@@ -225,13 +241,13 @@
         return first_ready(returns, now) or Restart(self.name, now)
 
     def ready_in(self, grace: float, now: float, own_end: float | None = None) -> float:
-        """Return the seconds until an entry is expected to take connections.
+        """Return the seconds until an entry is expected to accept connections.
 
         Args:
-            grace: Seconds in which an entry that is ending must have ended.
+            grace: Seconds in which an entry that is shutting down must have ended.
             now: Present time in seconds.
             own_end: When this entry is expected to have ended, None if it is not
-                ending.
+                shutting down.
         """
         first = self.first_ready(grace, now, own_end)
         return first.wait(now) if first is not None else 0.0
@@ -244,13 +260,13 @@
         return peer.zone if peer is not None else ""
 
     def count(self, now: float) -> int:
-        """Return how many entries are alive, as far as is known."""
+        """Return the number of entries known to be alive, this one included."""
         alive = self.alive(now)
         near = sum(self.zone_of(name) == self.zone for name in alive)
         return max(len(alive), near + sum(self.counts.values()))
 
     def hubs(self, now: float) -> dict[str, list[str]]:
-        """Return the entries that speak for each availability zone."""
+        """Return the hubs of each availability zone."""
         found: dict[str, list[str]] = defaultdict(list)
         for name in self.alive(now):
             members = found[self.zone_of(name)]
@@ -259,20 +275,20 @@
         return found
 
     def coordinators(self, now: float) -> set[str]:
-        """Return the entries alive that all others know, at least one."""
+        """Return the live entries that all others know, at least one."""
         if self.count(now) <= MAX_FULL_MESH:
             return set(self.alive(now))
         return {name for names in self.hubs(now).values() for name in names}
 
     def role(self, now: float) -> Role:
-        """Return how this entry takes part in the exchange."""
+        """Return the part that this entry has in the exchange."""
         if self.count(now) <= MAX_FULL_MESH:
             return Role.EQUAL
         is_hub = self.name in self.hubs(now)[self.zone]
         return Role.HUB if is_hub else Role.MEMBER
 
     def rank(self, now: float) -> int:
-        """Return how many entries alive come before this one."""
+        """Return how many live entries rank before this one."""
         role = self.role(now)
         if role is Role.MEMBER:
             near = [n for n in self.alive(now) if self.zone_of(n) == self.zone]
@@ -280,9 +296,9 @@
         return self._coordinators_in_order(now).index(self.name)
 
     def reader_rank(self, now: float, reads: bool) -> int:
-        """Return how many entries alive read the platform before this one.
+        """Return how many live entries read from the platform before this one.
 
-        Those come last that the platform does not answer.
+        Entries that the platform does not answer rank last.
 
         Args:
             now: Present time in seconds.
@@ -298,7 +314,7 @@
         return order.index(self.name)
 
     def _coordinators_in_order(self, now: float) -> list[str]:
-        """Return the entries alive that all others know, in order of their rank."""
+        """Return the live entries that all others know, in order of their rank."""
         if self.count(now) <= MAX_FULL_MESH:
             return self.alive(now)
         hubs = self.hubs(now).values()
@@ -306,14 +322,14 @@
         return [name for _, name in order]
 
     def gossip_targets(self, now: float, urgent: bool = False) -> list[Peer]:
-        """Return the entries to speak to in this round.
+        """Return the entries to contact in this round.
 
-        Of two entries one speaks and the other answers, but for one that has gone
-        silent, which both try.
+        Of two entries one sends and the other answers, except where one has gone
+        silent: then both send.
 
         Args:
             now: Present time in seconds.
-            urgent: Whether there is something that everybody must know at once.
+            urgent: Whether there is news that all entries must receive at once.
         """
         self.round_count += 1
         role = self.role(now)
@@ -329,7 +345,7 @@
     def _hub_targets(
         self, hubs: dict[str, list[str]], near: list[str], now: float, urgent: bool
     ) -> list[Peer]:
-        """Return whom a hub speaks to: far hubs in turn, and all if it is urgent."""
+        """Return the entries that a hub contacts, all it can reach if it is urgent."""
         far = [n for zone, names in hubs.items() if zone != self.zone for n in names]
         if urgent:
             members = [n for n in self.alive(now) if self.zone_of(n) == self.zone]
@@ -340,7 +356,7 @@
         return [self.peers[name] for name in targets] + self._silent_to_probe(now)
 
     def _peers_after(self, names: list[str], now: float) -> list[Peer]:
-        """Return those after this one in order of names, and silent ones before it."""
+        """Return those after this one by name, and the silent ones before it."""
         after = [self.peers[n] for n in names if n > self.name]
         before = [self.peers[n] for n in names if n < self.name]
         return after + [
@@ -348,17 +364,17 @@
         ]
 
     def _rotate(self, names: list[str], count: int) -> list[str]:
-        """Return some of the names, others in the next round."""
+        """Return some of the names, different ones in the next round."""
         if len(names) <= count:
             return names
         start = self.round_count * count % len(names)
         return (names[start:] + names[:start])[:count]
 
     def _silent_to_probe(self, now: float) -> list[Peer]:
-        """Return silent entries to be tried again, others in the next round.
+        """Return silent entries to probe, different ones in the next round.
 
-        Those of other zones are heard through their hubs, so they are silent here and
-        left alone, unless nobody of their zone is heard.
+        Entries of other zones are silent here because their messages go through hubs;
+        they are probed only while no entry of their zone is heard from.
         """
         heard = {self.zone_of(name) for name in self.alive(now)} - {self.zone, ""}
         silent = [
@@ -371,7 +387,7 @@
         ]
 
     def peers_to_report(self, zone: str, now: float) -> list[Peer]:
-        """Return the entries alive that one of an availability zone needs to know."""
+        """Return the live entries that one of an availability zone needs to know."""
         alive = [self.peers[name] for name in self.alive(now) if name != self.name]
         if self.role(now) is Role.EQUAL:
             return alive
@@ -379,7 +395,7 @@
         return [peer for peer in alive if peer.zone == zone or peer.name in hubs]
 
     def expire(self, now: float) -> None:
-        """Forget entries that have been silent for long."""
+        """Remove entries that have been silent for a long time."""
         for peer in list(self.peers.values()):
             if now - max(peer.heard_at, peer.known_since) > PEER_RETENTION:
                 del self.peers[peer.name]
--- a/packages/core/src/lacewingcourse/core/pipelines/restart_estimate.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/restart_estimate.py
@@ -1,4 +1,4 @@
-"""When an instance that is ending has ended, and when it takes connections again."""
+"""Estimates of when an instance has shut down and accepts connections again."""
 
 from __future__ import annotations
 
@@ -9,32 +9,35 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Seconds between the end of an instance and its next start, at the most.
+#: Seconds between the end of an instance and its next start, at most.
 RESTART_TIME = 1.0
-#: Seconds between its start and its first connections, at the most.
+#: Seconds between its start and its first connections, at most.
 STARTUP_TIME = 0.6
-#: Seconds between two news of an instance: by so much its last word may precede its
-#: end.
+#: Seconds between two messages of an instance; its last one may precede its end by as
+#: much.
 GOSSIP_PERIOD = 0.2
-#: Seconds after its end in which an instance takes connections again.
+#: Seconds after its end in which an instance accepts connections again.
 READY_AFTER = RESTART_TIME + STARTUP_TIME + GOSSIP_PERIOD
-#: Seconds after its return in which the balancer sends callers to an instance: it asks
-#: once a second, and until then may send them to those that are ending.
+#: Seconds after its return in which the balancer puts an instance into rotation. The
+#: balancer probes once a second; until then it may send callers to instances that are
+#: shutting down.
 ROTATION_TIME = 1.0
-#: Least seconds until one is back while none is known to be: its own first news.
+#: Seconds to wait at least while no instance is known to be back: its first message has
+#: yet to arrive.
 MIN_WAIT = 0.5
-#: Seconds beyond the expected time after which an instance is waited for no more.
+#: Seconds beyond its expected time after which an instance is no longer waited for.
 OVERDUE_TIME = 1.0
 
 
 @attrs.frozen
 class Restart:
-    """An instance that starts again.
+    """An instance that restarts.
 
     Attributes:
         name: Its name.
         ends_at: When it has ended or is expected to, seconds.
-        back_since: When it was first heard again, None if it was not.
+        returned_at: When its first message after the restart arrived, seconds; None
+            before it.
     """
 
     name: str
@@ -54,9 +57,9 @@
         return max(min_wait, self.ready_at - now)
 
     def describe(self, now: float) -> str:
-        """Return what is known of it, for a log line."""
+        """Return its state as text for a log line."""
         if self.returned_at is not None:
-            return f"{self.name} is back since {now - self.returned_at:.1f} s"
+            return f"{self.name} has been back for {now - self.returned_at:.1f} s"
         left = self.ends_at - now
         if left >= 0:
             return f"{self.name} ends in {left:.1f} s"
@@ -66,12 +69,12 @@
 def expected_end(
     soonest: float, last: float, remaining: Iterable[float], now: float
 ) -> float:
-    """Return when an instance that is ending is expected to have ended.
+    """Return when an instance that is shutting down is expected to have ended.
 
     Args:
-        soonest: Time before which it does not end, seconds.
-        last: Time at which it ends whatever is open.
-        rests: Seconds that each of its open answers is expected to take yet.
+        soonest: Earliest time at which it ends, seconds.
+        last: Time at which it ends even if answers are open, seconds.
+        remaining: Seconds that each of its open answers is expected to take from now.
         now: Present time in seconds.
     """
     longest = max(remaining, default=0.0)
@@ -79,6 +82,11 @@
 
 
 def first_ready(returns: Iterable[Restart], now: float) -> Restart | None:
-    """Return the instance that is expected to be back first, None if none is."""
+    """Return the instance expected to be ready first, None if none is expected.
+
+    Args:
+        returns: Instances that restart.
+        now: Present time in seconds.
+    """
     pending = [each for each in returns if each.ready_at + OVERDUE_TIME > now]
     return min(pending, key=lambda each: each.ready_at, default=None)
--- a/packages/core/tests/pipelines/test_restart_estimate.py
+++ b/packages/core/tests/pipelines/test_restart_estimate.py
@@ -139,4 +139,4 @@
     assert first.describe(5.5) == "b ended 0.5 s ago"
     book = table_of_leaving(b=1.0)
     book.record_message("b", "b:1", False, 7.0)
-    assert book.first_ready(GRACE, 7.4).describe(7.4) == "b is back since 0.4 s"
+    assert book.first_ready(GRACE, 7.4).describe(7.4) == "b has been back for 0.4 s"
