--- a/packages/core/src/lacewingcourse/core/pipelines/crashes.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/crashes.py
@@ -8,19 +8,19 @@
 
 from lacewingcourse.core.pipelines.suspects import ObservationScope
 
-#: Endpoints that must have been lost while they ran a request before it is refused.
-#: One or two are lost beside any request now and then.
+#: Distinct endpoints that must have been lost while running a request before it is
+#: refused. One or two may be lost by coincidence.
 CRASH_THRESHOLD = 3
-#: Seconds for which a crash counts, and for which a refusal therefore lasts.
+#: Seconds for which a crash counts, and thus a refusal lasts.
 CRASH_RETENTION = 60.0
-#: Requests that are remembered at the most.
+#: Requests that are remembered at most.
 MAX_REQUESTS = 2_000
 #: Bytes of a fingerprint.
 FINGERPRINT_BYTES = 12
 
 
 def fingerprint_of(*fields: bytes) -> str:
-    """Return what identifies a request when its caller sends it again."""
+    """Return a digest that identifies a request when its caller repeats it."""
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
     for field in fields:
         digest.update(len(field).to_bytes(4))
@@ -30,15 +30,15 @@
 
 @attrs.define
 class CrashHistory:
-    """Which endpoints were lost under which requests.
+    """Which endpoints were lost while they ran which requests.
 
-    Engines run requests beside one another, so a loss speaks against all that ran
-    there. A request is refused once distinct endpoints were lost under it; its
-    neighbours of one crash are other ones than those of the next.
+    Engines run requests concurrently, so a loss counts against all requests that ran
+    there. A request is refused once enough distinct endpoints were lost while running
+    it; the requests that run beside it differ from crash to crash.
 
     Attributes:
-        books: Times of the losses by fingerprint and endpoint, for those that this
-            entry saw, that one of its zone saw, and that others saw.
+        records: Times of the losses by fingerprint and endpoint, in seconds: those that
+            this entry saw, that one of its zone saw, and that others saw.
     """
 
     records: dict[ObservationScope, dict[str, dict[str, float]]] = attrs.field(
@@ -46,24 +46,24 @@
     )
 
     def record_loss(self, fingerprint: str, endpoint: str, now: float) -> bool:
-        """Note a loss under a request; tell whether it is refused from now on."""
+        """Record a loss while running a request; tell whether it is now refused."""
         _record_loss(self.records[ObservationScope.OWN], fingerprint, endpoint, now)
         return self.is_refused(fingerprint, now)
 
     def clear(self, fingerprint: str) -> None:
-        """Forget a request that ran to its end."""
+        """Forget a request that completed."""
         for record in self.records.values():
             record.pop(fingerprint, None)
 
     def from_peer(
         self, losses: dict[str, dict[str, float]], now: float, same_zone: bool = True
     ) -> None:
-        """Take the losses that a peer told.
+        """Merge the losses that a peer reports.
 
         Args:
             losses: Seconds since each loss, by fingerprint and endpoint.
             now: Present time in seconds.
-            near: Whether an entry of this one's availability zone saw them.
+            same_zone: Whether an entry of this one's availability zone saw them.
         """
         record = self.records[
             ObservationScope.ZONE if same_zone else ObservationScope.ALL
@@ -83,7 +83,7 @@
 
         Args:
             now: Present time in seconds.
-            reach: From how far away the losses may be.
+            scope: Widest scope of the losses to return.
         """
         found: dict[str, dict[str, float]] = {}
         for observed, record in self.records.items():
@@ -94,7 +94,7 @@
         return found
 
     def expire(self, now: float) -> None:
-        """Forget what counts no longer."""
+        """Remove requests without a recent loss."""
         for record in self.records.values():
             for fingerprint, losses in list(record.items()):
                 if not _recent(losses, now):
@@ -108,7 +108,7 @@
 def _record_loss(
     record: dict[str, dict[str, float]], fingerprint: str, endpoint: str, now: float
 ) -> None:
-    """Note a loss, and bound what is remembered."""
+    """Record the first loss of an endpoint, and evict the oldest requests."""
     record.setdefault(fingerprint, {}).setdefault(endpoint, now)
     while len(record) > MAX_REQUESTS:
         del record[next(iter(record))]
--- a/packages/core/src/lacewingcourse/core/pipelines/suspects.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/suspects.py
@@ -1,4 +1,4 @@
-"""Endpoints that are left out for a while after they failed."""
+"""Endpoints that are excluded for a while after they failed."""
 
 from __future__ import annotations
 
@@ -6,45 +6,49 @@
 
 import attrs
 
-#: Seconds for which an endpoint is left out after a first failure. A dead one loses
-#: its directory entry after three heartbeats; until then its requests would stall.
+#: Seconds for which an endpoint is excluded after a first failure. A dead endpoint
+#: loses its directory entry after three missed heartbeats; until then its requests
+#: would stall.
 FIRST_EXCLUSION = 2.0
 #: Seconds of the longest exclusion.
 MAX_EXCLUSION = 8.0
-#: Seconds without a failure after which exclusions start short again.
+#: Seconds without a failure after which exclusions start at the shortest again.
 FAILURE_RESET_TIME = 10.0
-#: Seconds below which the rest of a peer's suspicion is not taken over. Otherwise
-#: entries that tell one another would keep it alive between them.
+#: Remaining seconds below which a peer's exclusion is not adopted. Otherwise entries
+#: that report it to each other would keep it alive.
 MIN_REMAINING = 0.3
-#: Seconds for which those who were told of a failure wait beyond the one who saw it. An
-#: endpoint that still rejects is then found out by one entry and not by all at once.
+#: Seconds by which an exclusion reported by a peer is extended. The entry that saw the
+#: failure tries the endpoint first, so an endpoint that still rejects costs one
+#: rejection and not one for each entry.
 RECHECK_DELAY = 0.5
-#: Seconds by which a peer's exclusion must end later to be taken over. It tells of a
-#: further failure then; less is this entry's own word that comes back.
+#: Seconds by which a peer's exclusion must end later than the known one to be adopted.
+#: It then stands for a further failure; a smaller difference is this entry's own report
+#: coming back.
 MIN_EXTENSION = 1.0
-#: Share of its memory from which an endpoint that rejects may just be full. What it
-#: holds is known but for answers that outgrow their estimate and what peers sent just
-#: now, so dead ones are found above it too and have to be asked.
+#: Share of its memory from which an endpoint that rejects a request may just be full.
+#: The memory in use is known except for answers that outgrow their estimate and
+#: requests that peers sent just now. A dead endpoint may exceed the share too, so it is
+#: probed.
 FULL_THRESHOLD = 0.6
 
 
 def is_full(misdirected: bool, filled: float) -> bool:
     """Tell whether an endpoint that rejected a request may only be short of memory.
 
-    It says the same when it is dead, leaving or giving up its layers. Those hold for
-    every request; a lack of memory is over when the next answer ends, and smaller
-    requests fit meanwhile. To leave such an endpoint out for all pushes its load on
-    the others just when they are full too.
+    An endpoint gives the same answer when it is dead, leaving or giving up its layers.
+    Those conditions hold for every request; a shortage of memory ends with the next
+    answer, and smaller requests fit meanwhile. To exclude such an endpoint for all
+    requests would move its load to the others while they are full too.
 
     Args:
-        misdirected: Whether it does not hold the layers that it was asked for.
-        filled: Share of its memory that is believed to be taken.
+        misdirected: Whether it does not hold the layers that the request needs.
+        filled: Share of its memory that is estimated to be in use.
     """
     return not misdirected and filled >= FULL_THRESHOLD
 
 
 class ObservationScope(IntEnum):
-    """How far from where it was seen something is told."""
+    """Which entries made an observation: this one, those of its zone, or any."""
 
     OWN = 0
     ZONE = 1
@@ -53,17 +57,17 @@
 
 @attrs.define
 class Suspicion:
-    """Why an endpoint is left out.
+    """Exclusion of an endpoint and its reason.
 
     Attributes:
-        until: Time until which it is, seconds.
+        until: End of the exclusion, seconds.
         failures: Failures in succession.
-        failed_at: Time of the last one.
-        reason: What was seen.
-        reach: Whether this entry saw the failure, one of its zone, or another.
-        silent: Whether it does not answer at all, so that streams through it stand
-            still. One that rejects new work or was ordered to move may well go on with
-            those that it has.
+        failed_at: Time of the last failure, seconds.
+        reason: What was observed.
+        scope: Whether this entry saw the failure, one of its zone, or another one.
+        silent: Whether the endpoint does not answer at all, so that streams through it
+            stall. One that rejects new requests or was ordered to move may still finish
+            those that it runs.
     """
 
     until: float
@@ -76,10 +80,10 @@
 
 @attrs.define
 class Suspects:
-    """Endpoints that failed lately.
+    """Endpoints that failed recently.
 
     Attributes:
-        members: Suspicions by id of the endpoint.
+        members: Exclusions by id of the endpoint.
     """
 
     members: dict[str, Suspicion] = attrs.field(factory=dict)
@@ -87,13 +91,18 @@
     def suspect(
         self, endpoint: str, reason: str, now: float, silent: bool = False
     ) -> Suspicion:
-        """Leave an endpoint out, for twice as long after each failure.
+        """Exclude an endpoint, twice as long after each failure in succession.
+
+        A failure during an exclusion does not extend it.
 
         Args:
             endpoint: The endpoint.
-            reason: What was seen.
+            reason: What was observed.
             now: Present time in seconds.
             silent: Whether it does not answer at all.
+
+        Returns:
+            The exclusion that is now in force.
         """
         known = self.members.get(endpoint)
         failures = 1
@@ -115,13 +124,13 @@
         same_zone: bool = True,
         silent: bool = False,
     ) -> None:
-        """Leave out an endpoint that a peer leaves out.
+        """Exclude an endpoint that a peer excludes.
 
         Args:
             endpoint: The endpoint.
-            remaining: Seconds for which the peer leaves it out.
+            remaining: Seconds for which the peer still excludes it.
             now: Present time in seconds.
-            near: Whether an entry of this one's availability zone saw the failure.
+            same_zone: Whether an entry of this one's availability zone saw the failure.
             silent: Whether the endpoint does not answer at all.
         """
         known = self.members.get(endpoint)
@@ -135,21 +144,21 @@
                 known.failures = max(known.failures, _failures_for(remaining))
             return
         scope = ObservationScope.ZONE if same_zone else ObservationScope.ALL
-        reason = "told by a peer"
+        reason = "reported by a peer"
         failures = _failures_for(remaining)
         until += RECHECK_DELAY
         self.members[endpoint] = Suspicion(until, failures, now, reason, scope, silent)
 
     def excluded(self, now: float) -> set[str]:
-        """Return the endpoints that are left out."""
+        """Return the endpoints that are excluded."""
         return {name for name, found in self.members.items() if found.until > now}
 
     def silent(self, now: float, since: float = float("-inf")) -> set[str]:
-        """Return the endpoints that are left out because they do not answer.
+        """Return the endpoints that are excluded because they do not answer.
 
         Args:
             now: Present time in seconds.
-            since: Time since which the failure was seen, seconds.
+            since: Earliest time of the failure, seconds.
         """
         return {
             name
@@ -160,11 +169,11 @@
     def remaining(
         self, now: float, scope: ObservationScope = ObservationScope.OWN
     ) -> dict[str, float]:
-        """Return the seconds for which endpoints are left out.
+        """Return the remaining seconds of each exclusion.
 
         Args:
             now: Present time in seconds.
-            reach: From how far away the suspicions may be.
+            scope: Widest scope of the exclusions to return.
         """
         return {
             name: round(found.until - now, 3)
@@ -173,14 +182,14 @@
         }
 
     def expire(self, now: float) -> None:
-        """Forget what is long over."""
+        """Remove exclusions that ended long ago."""
         for name, found in list(self.members.items()):
             if now - found.failed_at > FAILURE_RESET_TIME and found.until < now:
                 del self.members[name]
 
 
 def _failures_for(remaining: float) -> int:
-    """Return the least failures in succession after which so much time remains."""
+    """Return the lowest failure count whose exclusion lasts that many seconds."""
     failures, length = 1, FIRST_EXCLUSION
     while length < min(remaining, MAX_EXCLUSION):
         failures += 1
