--- a/packages/core/src/lacewingcourse/core/pipelines/admission_queue.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/admission_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for room on a path, in the order in which they get it."""
+"""Queue of requests that wait for capacity on a path, and their time limits."""
 
 from __future__ import annotations
 
@@ -12,55 +12,55 @@
     from collections.abc import Callable
 
 #: Share of its objective for which a request waits. A first event takes about a tenth
-#: of the objective on a path with room, so one that gets a path by then is in time.
+#: of the objective on an idle path, so a request that gets a path by then is on time.
 IN_TIME_SHARE = 0.5
-#: Objectives for which a request waits that is served late rather than refused.
+#: Objectives for which a request waits under the "late" policy.
 LATE_OBJECTIVES = 2.0
-#: Seconds that an answer is taken to last of a route of which few were seen.
+#: Seconds assumed for the duration of an answer on a route with few samples.
 DEFAULT_ANSWER_TIME = 2.0
-#: Answers that pass until a refused request is asked to come back, at the least and at
-#: the most. By then what fills the paths now has ended; jitter keeps callers refused
-#: together from returning together.
+#: Bounds of the retry delay of a refused request, in durations of an answer. The
+#: requests that occupy the paths now have ended by then; the spread keeps callers
+#: refused together from returning together.
 RETRY_AFTER_ANSWERS = (1.0, 2.5)
-#: Seconds after which a request may come back that lacks nothing but a retry, at the
-#: least and at the most.
+#: Bounds of the retry delay, in seconds, of a request that was refused only because the
+#: retry budget is exhausted.
 EXHAUSTED_RETRY_AFTER = (0.05, 0.15)
-#: Seconds over which callers are spread whose requests a limit kept out together.
+#: Seconds over which the retries of requests blocked by the same limit are spread.
 LIMIT_RETRY_JITTER = 1.0
-#: Silence after which a caller leaves: the longest of some seconds, some objectives of
-#: its route, and some times the pause that it allows between two events.
+#: A caller leaves after some silence: the longest of some seconds, some objectives of
+#: its route, and some times the gap that its route allows between two events.
 MIN_CALLER_TIMEOUT = 2.0
 CALLER_TIMEOUT_OBJECTIVES = 4.0
 CALLER_TIMEOUT_GAPS = 8.0
-#: Seconds beyond it for which a stream that broke waits for a path, so that the answer
-#: is never ended from here while its caller reads on.
+#: Seconds by which a broken stream waits longer than its caller, so that this entry
+#: never ends an answer that is still being read.
 CALLER_TIMEOUT_MARGIN = 0.2
 
 
-#: How long a request without a path waits for one: returns the time at which it is
-#: refused, from the time at which it came and its objective in seconds.
+#: Policies for how long a request without a path waits: each returns the time at which
+#: it is refused, from its time of arrival and its objective in seconds.
 WAIT_POLICIES: Registry[Callable[[float, float], float]] = Registry("wait for room")
 
 
 @WAIT_POLICIES.register("in_time")
 def wait_in_time(received: float, objective: float) -> float:
-    """Wait as long as the answer can still be in time.
+    """Wait only as long as the answer can still be on time.
 
-    This answers a load above what the fleet serves. Each entry knows only its own
-    requests that wait, so a late one takes room that one at another entry could still
-    use in time.
+    This policy suits a load above the capacity of the fleet. Each entry knows only its
+    own queue, so a late request takes capacity that a request at another entry could
+    still use on time.
     """
     return received + IN_TIME_SHARE * objective
 
 
 @WAIT_POLICIES.register("late")
 def wait_late(received: float, objective: float) -> float:
-    """Wait for two objectives: late answers rather than refusals."""
+    """Wait for some objectives: prefer late answers to refusals."""
     return received + LATE_OBJECTIVES * objective
 
 
 def resume_timeout(objective: float, gap: float) -> float:
-    """Return the seconds of silence for which a stream that broke waits for a path.
+    """Return the seconds of silence for which a broken stream waits for a path.
 
     Args:
         objective: Seconds in which its route wants the first event.
@@ -75,10 +75,10 @@
 
 
 def retry_after(answer: float | None, draw: float) -> float:
-    """Return the seconds after which a refused caller is asked to come back.
+    """Return the seconds after which a refused caller may retry.
 
     Args:
-        answer: Seconds that a usual answer of the route lasts, None if that is unknown.
+        answer: Usual duration of an answer on the route in seconds, None if unknown.
         draw: A number from 0 to 1 that spreads the callers.
     """
     least, most = RETRY_AFTER_ANSWERS
@@ -86,9 +86,9 @@
 
 
 def retry_after_exhausted(draw: float) -> float:
-    """Return the seconds after which a request comes back that lacks a retry.
+    """Return the retry delay in seconds when the retry budget is exhausted.
 
-    The caller's new request is a first send and needs none.
+    The caller's new request is a first send, which needs no retry from the budget.
 
     Args:
         draw: A number from 0 to 1 that spreads the callers.
@@ -98,7 +98,7 @@
 
 
 def retry_after_limit(next_in: float, draw: float) -> float:
-    """Return the seconds after which a request comes back that a limit kept out.
+    """Return the retry delay in seconds of a request that a limit blocked.
 
     Args:
         next_in: Seconds until an endpoint takes a request.
@@ -109,13 +109,13 @@
 
 @attrs.define(eq=False)
 class QueuedRequest:
-    """A request that waits.
+    """A request that waits for a path.
 
     Attributes:
-        urgency: Rank, 0 for what is served first.
+        urgency: Its rank; 0 is served first.
         tokens: Tokens that it needs.
-        since: When it began to wait, seconds.
-        until: Time at which it is refused.
+        since: When it was queued, seconds.
+        until: Time at which it is refused, seconds.
     """
 
     urgency: int
@@ -126,29 +126,29 @@
 
 @attrs.define
 class AdmissionQueue:
-    """The requests that wait at this entry.
+    """The requests that wait at this entry, ordered by urgency and arrival.
 
-    The more urgent go before the others. A large one that does not fit yet is not
-    passed by newcomers once half of its time is used up.
+    A large request that does not fit yet is not overtaken by new ones of the same or
+    lower urgency once half of its waiting time has passed.
 
     Attributes:
-        members: The requests.
+        requests: The requests in order.
     """
 
     requests: list[QueuedRequest] = attrs.field(factory=list)
 
     def push(self, request: QueuedRequest) -> None:
-        """Take a request."""
+        """Add a request."""
         self.requests.append(request)
         self.requests.sort(key=lambda queued: (queued.urgency, queued.since))
 
     def discard(self, request: QueuedRequest) -> None:
-        """Let a request go."""
+        """Remove a request if it is queued."""
         if request in self.requests:
             self.requests.remove(request)
 
     def may_bypass(self, urgency: int, now: float) -> bool:
-        """Tell whether a newcomer may take room before those that wait."""
+        """Tell whether a new request may take capacity before the queued ones."""
         for queued in self.requests:
             half = queued.since + (queued.until - queued.since) / 2
             if queued.urgency <= urgency and half <= now < queued.until:
