--- a/packages/core/src/lacewingcourse/core/pipelines/cooperative.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/cooperative.py
@@ -1,4 +1,4 @@
-"""Work in steps between which a process may do something else."""
+"""Searches that run in steps, so that a process can do other work in between."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def run_to_completion(search: Generator[None, None, Result]) -> Result:
-    """Return what a search finds, without interruption."""
+    """Run a search to its end without pausing; return its result."""
     while True:
         try:
             next(search)
--- a/packages/core/src/lacewingcourse/core/pipelines/events.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/events.py
@@ -1,21 +1,22 @@
-"""Whole events of a stream, and where it can be taken up again."""
+"""Splitting of a server-sent event stream, and the position to resume it from."""
 
 from __future__ import annotations
 
 import attrs
 
-#: Bytes of an event beyond which a stream is given up as not one of events.
+#: Bytes of an unfinished event beyond which the stream is taken not to consist of
+#: events.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
 @attrs.define
 class EventSplitter:
-    """Cuts the bytes of a stream into whole events.
+    """Splits the bytes of a stream into complete events.
 
     Attributes:
-        pending: Bytes of an event that has not ended.
-        last_id: Identifier of the last whole event passed on, empty before it.
-        passed: Events passed on.
+        pending: Bytes of an event that is not complete yet.
+        last_id: Identifier of the last event forwarded, empty before the first.
+        forwarded: Number of events forwarded.
     """
 
     pending: bytes = b""
@@ -23,10 +24,10 @@
     forwarded: int = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes; return the whole events that may be passed on.
+        """Add received bytes; return the complete events to forward.
 
-        An event whose identifier is not greater than the last one is dropped: a run
-        that goes on elsewhere may repeat it.
+        An event whose identifier does not follow the last one is dropped, since a run
+        that continues on another endpoint may repeat it.
         """
         self.pending += data
         end = self._end()
@@ -36,23 +37,26 @@
         return b"".join(filter(self._accept, _split(complete)))
 
     def discard_pending(self) -> None:
-        """Drop an event that was cut in the middle, before another run goes on."""
+        """Drop the incomplete event of a run that broke off.
+
+        Another run that continues the stream starts with a complete event.
+        """
         self.pending = b""
 
     @property
     def oversized(self) -> bool:
-        """Whether the pending bytes can be no event."""
+        """Whether the pending bytes are too many for an event."""
         return len(self.pending) > MAX_EVENT_BYTES
 
     def _end(self) -> int:
-        """Return the end of the last whole event in the pending bytes, or -1."""
+        """Return the end of the last complete event in the pending bytes, or -1."""
         lf = self.pending.rfind(b"\n\n")
         crlf = self.pending.rfind(b"\r\n\r\n")
         ends = [lf + 2 if lf >= 0 else -1, crlf + 4 if crlf >= 0 else -1]
         return max(ends)
 
     def _accept(self, event: bytes) -> bool:
-        """Note an event; tell whether it is to be passed on."""
+        """Tell whether an event is to be forwarded; record it if so."""
         found = event_id(event)
         if found is not None:
             if not _is_after(found, self.last_id):
@@ -71,14 +75,14 @@
 
 
 def _is_after(found: str, last: str) -> bool:
-    """Tell whether an identifier comes after another one."""
+    """Tell whether an identifier follows another one; only numbers have an order."""
     if found.isdigit() and last.isdigit():
         return int(found) > int(last)
     return found != last
 
 
 def _split(complete: bytes) -> list[bytes]:
-    """Return the events of a run of whole events, with their ends."""
+    """Return the events in a sequence of complete events, each with its end."""
     separator = b"\r\n\r\n" if b"\r\n\r\n" in complete else b"\n\n"
     parts = complete.split(separator)
     return [part + separator for part in parts if part]
--- a/packages/core/src/lacewingcourse/core/pipelines/freshness.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/freshness.py
@@ -1,4 +1,4 @@
-"""How old knowledge of the platform is, and when this entry reads it itself."""
+"""Age of what an entry knows of the platform, and when it reads from it itself."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Age in seconds that is told of knowledge that there never was.
+#: Age in seconds that is reported while nothing is known.
 UNKNOWN_AGE = 1e6
-#: Seconds after which a source that gave no answer is asked again, at first and at the
-#: most. The longest leaves time to pass on what one entry reads within two seconds.
+#: Seconds before a source that did not answer is read again, at first and at most. The
+#: longest delay leaves time to pass on within two seconds what one entry reads.
 MIN_RETRY_DELAY = 0.25
 MAX_RETRY_DELAY = 1.0
-#: Share of a delay that is drawn, so that entries do not ask together.
+#: Share of a delay that is random, so that entries do not read at the same time.
 JITTER_SHARE = 0.25
 
 
-#: When a source that gave no answer is asked again: returns the seconds until then,
-#: from the failures before and a number from 0 to 1 that is drawn.
+#: Delay before a failed read is repeated: returns seconds from the number of earlier
+#: failures in succession and a random number from 0 to 1.
 RETRY_DELAYS: Registry[Callable[[int, float], float]] = Registry(
     "delay before a source is asked again"
 )
@@ -38,33 +38,33 @@
 def backoff_delay(failures: int, draw: float) -> float:
     """Wait twice as long after each failure, up to a limit.
 
-    While the source is away for seconds every entry asks it; the first that has an
-    answer tells the others.
+    Every entry reads while the source is unavailable; the first that gets an answer
+    passes it on to the others.
     """
     delay = min(MAX_RETRY_DELAY, MIN_RETRY_DELAY * 2**failures)
     return delay * (1 - JITTER_SHARE * draw)
 
 
-#: Shares of the time in which a change must be known everywhere: how long a read waits
-#: for a change, and the ages at which the second and the last entry read themselves.
-#: What is left is for one read and its answer.
+#: Shares of the propagation bound: how long a read waits for a change, and the ages at
+#: which the second and the last entry read themselves. The rest is left for one read
+#: and its answer.
 WAIT_SHARE = 0.25
 TAKEOVER_SHARE = 0.4
 MAX_AGE_SHARE = 0.45
-#: Share of it that each further entry waits longer.
+#: Share of the bound by which each further entry waits longer.
 STEP_SHARE = 0.0125
-#: Share of it after which something that is not known may have come meanwhile. No entry
-#: whose reads are answered gets there.
+#: Share of the bound after which something unknown may have been added meanwhile. An
+#: entry whose reads are answered never reaches this age.
 STALE_SHARE = 0.6
 
 
 @attrs.frozen
 class PropagationBudget:
-    """How the time in which a change must be known everywhere is divided.
+    """Division of the time in which a change must reach every entry.
 
-    An entry whose reads are answered knows each change in time by its own reads,
-    whatever others do: it reads when nobody has told it for `last` that what it knows
-    is the newest.
+    An entry whose reads are answered learns each change in time by its own reads,
+    whatever the others do: it reads when nobody has confirmed for `max_age` that its
+    knowledge is the newest.
 
     Attributes:
         bound: Seconds from the acknowledgement of a change by which every entry that
@@ -85,11 +85,11 @@
 
     @property
     def stale(self) -> float:
-        """Age in seconds from which nothing can be said not to exist."""
+        """Age in seconds from which a missing item may merely be unknown."""
         return STALE_SHARE * self.bound
 
     def freshness(self) -> Freshness:
-        """Return the age of knowledge that there is not yet."""
+        """Return the freshness of an entry that knows nothing yet."""
         found = Freshness(0.0, 0.0)
         self.apply(found)
         return found
@@ -103,19 +103,21 @@
 
 @attrs.define
 class Freshness:
-    """Knowledge that one entry reads and the others hear from it.
+    """Age of knowledge that one entry reads and passes on to the others.
 
-    The first entries by rank read as soon as their knowledge is old; each further one
-    waits a little longer and so reads only if those before it fell silent or are
-    turned away.
+    The first entries by rank read as soon as their knowledge is old. Each further entry
+    waits a little longer, so it reads only if those before it are silent or their reads
+    fail.
 
     Attributes:
-        patience: Age in seconds at which the entries after the first read themselves.
-        step: Seconds that each further entry waits longer.
-        last: Age in seconds at which an entry reads whatever its rank.
-        confirmed_at: When what is known here was last known to be the newest.
-        next_try: Time before which no further read is made.
-        retry_delay: Returns the seconds after which a failed read is made again.
+        takeover_age: Age in seconds at which the entries after the first read
+            themselves.
+        takeover_step: Seconds by which each further entry waits longer.
+        max_age: Age in seconds at which an entry reads whatever its rank.
+        confirmed_at: Last time at which the knowledge was confirmed to be the newest,
+            seconds.
+        next_try: Time before which no further read is made, seconds.
+        retry_delay: Returns the seconds after which a failed read is repeated.
         failures: Failed reads in succession.
     """
 
@@ -128,17 +130,17 @@
     failures: int = 0
 
     def confirm(self, at: float) -> None:
-        """Note that what is known was the newest at some time."""
+        """Record that the knowledge was the newest at a time."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     def expire(self) -> None:
-        """Forget when what is known was last confirmed, so that it is read again."""
+        """Discard the last confirmation, so that a read is due again."""
         self.confirmed_at = float("-inf")
         self.next_try = float("-inf")
         self.failures = 0
 
     def failed(self, now: float, draw: float) -> None:
-        """Note a failed read.
+        """Record a failed read.
 
         Args:
             now: Present time in seconds.
@@ -148,13 +150,13 @@
         self.failures += 1
 
     def succeeded(self, now: float, known_at: float, interval: float = 0.0) -> None:
-        """Note a read that brought all there was.
+        """Record a read that returned all there was.
 
         Args:
             now: Present time in seconds.
-            known_at: When what it brought was the newest. An answer may have been on
-                its way since it was asked for.
-            interval: Seconds until the next one.
+            known_at: When the result was the newest, seconds. The answer may have been
+                in transit since the request was sent.
+            interval: Seconds until the next read.
         """
         self.failures = 0
         self.confirm(known_at)
@@ -170,5 +172,5 @@
         return now - self.confirmed_at > min(takeover_age, self.max_age)
 
     def age(self, now: float) -> float:
-        """Return how old the knowledge is, in seconds."""
+        """Return the age of the knowledge in seconds."""
         return min(UNKNOWN_AGE, now - self.confirmed_at)
--- a/packages/core/src/lacewingcourse/core/pipelines/incarnation.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/incarnation.py
@@ -1,12 +1,12 @@
-"""Which start of an endpoint something is about."""
+"""Identity of an endpoint process across restarts under one name."""
 
 from __future__ import annotations
 
 import attrs
 
-#: Between the name and the start in an identifier.
+#: Separates name and start time in an identifier.
 SEPARATOR = "@"
-#: Start of an endpoint that does not tell when it started.
+#: Start time of an endpoint that does not report one.
 UNKNOWN_START = 0
 
 
@@ -14,14 +14,15 @@
 class Incarnation:
     """One start of an endpoint, which may start again under its name.
 
-    A later start holds nothing and knows nothing of the earlier one, so everything
-    that is believed of an endpoint (layers, loads, suspicions, open orders, crashes)
-    is kept under the identifier of its incarnation and ends with it. A request that
-    was sent to an earlier incarnation may have run all the same.
+    A later start neither holds nor knows anything of an earlier one. All state about an
+    endpoint (layers, loads, suspicions, open orders, crashes) is therefore kept under
+    the identifier of its incarnation and is dropped with it. A request that was sent to
+    an earlier incarnation may still have run.
 
     Attributes:
         name: Name under which the endpoint registers.
-        born: Unix milliseconds of its start, `UNKNOWN_START` if it does not tell.
+        born: Time of its start in Unix milliseconds, `UNKNOWN_START` if it does not
+            report one.
     """
 
     name: str
@@ -29,7 +30,7 @@
 
     @property
     def id(self) -> str:
-        """Identifier of the incarnation; the bare name if its start is untold."""
+        """Identifier of the incarnation; the bare name if its start is unknown."""
         if self.born == UNKNOWN_START:
             return self.name
         return f"{self.name}{SEPARATOR}{self.born}"
