--- a/packages/core/src/lacewingcourse/core/pipelines/limit_sharing.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/limit_sharing.py
@@ -1,4 +1,4 @@
-"""How entries share what an endpoint takes that names a limit."""
+"""Sharing of an endpoint's advertised request limit between entries."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 if TYPE_CHECKING:
     from collections.abc import Hashable
 
-#: Seconds for which a bucket is kept that nobody uses.
+#: Seconds after its last use in which an idle bucket is removed.
 BUCKET_RETENTION = 60.0
-#: Requests that an entry may save up where each has an even share.
+#: Requests that a token bucket holds at most.
 BUCKET_CAPACITY = 1.0
 
 
 class LimitSharing(Protocol):
-    """An entry's part of what limited endpoints take.
+    """An entry's part of the limits of endpoints.
 
     Attributes:
-        entries: Entries that are alive, as far as this one knows.
+        entries: Entries known to be alive, this one included.
     """
 
     entries: int
@@ -40,25 +40,25 @@
         """Return how many requests this entry may send to an endpoint now."""
 
     def record_send(self, endpoint: str, rate: float, now: float) -> None:
-        """Note a request that is sent to an endpoint, whether it is limited or not."""
+        """Record a request that is sent to an endpoint, limited or not."""
 
     def note_demand(self, endpoint: str, request: Hashable, now: float) -> None:
-        """Note that a request was to be sent to an endpoint."""
+        """Record that a request is to be sent to an endpoint."""
 
     def next_in(self, endpoint: str, rate: float, now: float) -> float:
-        """Return the seconds until a request may be sent, 0 if that is not known."""
+        """Return the seconds until a request may be sent, 0 if unknown."""
 
     def revoke(self, endpoint: str) -> None:
-        """Forget what could be sent to an endpoint, since it takes less than before."""
+        """Revoke the right to send to an endpoint, because its limit decreased."""
 
     def clear(self) -> None:
-        """Trust nothing, since the time may have stood still."""
+        """Revoke all rights to send, because the clock may have stood still."""
 
     def expire(self, now: float) -> None:
-        """Forget what is over."""
+        """Remove expired state."""
 
 
-#: How entries share what a limited endpoint takes.
+#: Policies for sharing the limit of an endpoint between entries.
 LIMIT_SHARING_POLICIES: Registry[type[LimitSharing]] = Registry("sharing of limits")
 
 
@@ -68,14 +68,14 @@
 
     Attributes:
         level: Tokens in it.
-        filled_at: When that was worked out, seconds.
+        refilled_at: When the level was last computed, seconds.
     """
 
     level: float
     refilled_at: float
 
     def refill(self, rate: float, now: float) -> None:
-        """Add what has come since."""
+        """Add the tokens that have accrued since the last refill."""
         level = self.level + rate * (now - self.refilled_at)
         self.level, self.refilled_at = min(BUCKET_CAPACITY, level), now
 
@@ -83,13 +83,13 @@
 @LIMIT_SHARING_POLICIES.register("even")
 @attrs.define
 class EvenSharing:
-    """Each entry has an even share, and asks nobody.
+    """Gives each entry an even share, without communication between them.
 
-    Every entry may send one request at once, so many entries send a burst together.
+    Every entry may send one request at once, so many entries may send a burst together.
 
     Attributes:
-        entries: Entries that are alive, as far as this one knows.
-        buckets: What this entry may send, by endpoint.
+        entries: Entries known to be alive, this one included.
+        buckets: Token buckets by endpoint.
     """
 
     entries: int = 1
@@ -102,28 +102,28 @@
         return int(bucket.level)
 
     def record_send(self, endpoint: str, rate: float, now: float) -> None:
-        """Note a request that is sent to an endpoint, whether it is limited or not."""
+        """Record a request that is sent to an endpoint, limited or not."""
         if rate != NO_LIMIT:
             self.buckets[endpoint].level -= 1.0
 
     def note_demand(self, endpoint: str, request: Hashable, now: float) -> None:
-        """Note that a request was to be sent to an endpoint."""
+        """Record that a request is to be sent to an endpoint."""
 
     def next_in(self, endpoint: str, rate: float, now: float) -> float:
-        """Return the seconds until a request may be sent, 0 if that is not known."""
+        """Return the seconds until a request may be sent, 0 if unknown."""
         bucket = self.buckets.get(endpoint)
         return (1.0 - bucket.level) * self.entries / rate if bucket else 0.0
 
     def revoke(self, endpoint: str) -> None:
-        """Forget what could be sent to an endpoint, since it takes less than before."""
+        """Revoke the right to send to an endpoint, because its limit decreased."""
         self.buckets.pop(endpoint, None)
 
     def clear(self) -> None:
-        """Trust nothing, since the time may have stood still."""
+        """Revoke all rights to send, because the clock may have stood still."""
         self.buckets.clear()
 
     def expire(self, now: float) -> None:
-        """Forget what is over."""
+        """Remove expired state."""
         for endpoint, bucket in list(self.buckets.items()):
             if now - bucket.refilled_at > BUCKET_RETENTION:
                 del self.buckets[endpoint]
@@ -132,17 +132,17 @@
 @LIMIT_SHARING_POLICIES.register("permits")
 @attrs.define
 class PermitSharing:
-    """Each entry asks the one that gives out an endpoint's permits.
+    """Requests permits to send from the entry that issues those of an endpoint.
 
     Attributes:
-        entries: Entries that are alive, as far as this one knows.
-        permits: Permits that this entry has, by endpoint.
-        wanted: When each request was last to be sent, by endpoint.
-        retry_at: When the issuer of an endpoint's permits is asked again, seconds.
-        issuers: Who gave the last answer for an endpoint.
-        reported_to: Entry that was last told of the sends to an endpoint.
-        sends: Times of the sends of the last window, with who gave the permit for
-            each, by endpoint.
+        entries: Entries known to be alive, this one included.
+        permits: Permits that this entry holds, by endpoint.
+        wanted: When each request was last to be sent, seconds, by endpoint.
+        retry_at: When the issuer of an endpoint's permits may be asked again, seconds.
+        issuers: Issuer of the last grant, by endpoint.
+        reported_to: Entry to which the sends were last reported, by endpoint.
+        sends: Times of the sends within the last window, each with the issuer of its
+            permit (empty if it had none), by endpoint.
     """
 
     entries: int = 1
@@ -158,17 +158,17 @@
         return sum(permit.valid_from <= now for permit in self._valid(endpoint, now))
 
     def record_send(self, endpoint: str, rate: float, now: float) -> None:
-        """Note a request that is sent to an endpoint, whether it is limited or not."""
+        """Record a request that is sent to an endpoint, limited or not."""
         permits = self._valid(endpoint, now) if rate != NO_LIMIT else []
         issuer = permits.pop(0).issuer if permits else ""
         self.sends.setdefault(endpoint, deque()).append((now, issuer))
 
     def note_demand(self, endpoint: str, request: Hashable, now: float) -> None:
-        """Note that a request was to be sent to an endpoint."""
+        """Record that a request is to be sent to an endpoint."""
         self.wanted.setdefault(endpoint, {})[request] = now
 
     def next_in(self, endpoint: str, rate: float, now: float) -> float:
-        """Return the seconds until a request may be sent, 0 if that is not known."""
+        """Return the seconds until a request may be sent, 0 if unknown."""
         permits = self._valid(endpoint, now)
         coming = [
             permit.valid_from - now for permit in permits if permit.valid_from > now
@@ -180,16 +180,17 @@
     def demand(
         self, entry: str, endpoint: str, issuing_entry: str, rate: float, now: float
     ) -> PermitDemand | None:
-        """Return what this entry asks for, None if it need not ask.
+        """Return what to request from the issuing entry, None for no request.
 
-        An entry that gives out permits for the first time is told of the sends of the
-        last window even if no permit is lacking: it must not give them out once more.
+        An entry that has just begun to issue permits is sent the times of the sends
+        within the last window even if no permit is missing, so that it does not issue
+        permits for that capacity again.
 
         Args:
             entry: Name of this entry.
             endpoint: The endpoint.
-            asked: Entry that gives out its permits.
-            rate: Requests a second that the endpoint takes.
+            issuing_entry: Name of the entry that issues its permits.
+            rate: Requests per second that the endpoint takes.
             now: Present time in seconds.
         """
         count = self._missing_permits(endpoint, rate, now)
@@ -205,9 +206,9 @@
         return PermitDemand(entry, count, tuple(ages))
 
     def _missing_permits(self, endpoint: str, rate: float, now: float) -> int:
-        """Return how many permits this entry lacks.
+        """Return how many permits this entry is missing.
 
-        Permits are fetched ahead for as many requests as there were lately.
+        Permits are requested ahead, for as many requests as there were recently.
         """
         if now < self.retry_at.get(endpoint, -inf):
             return 0
@@ -226,15 +227,16 @@
         now: float,
         draw: float,
     ) -> None:
-        """Take what the issuer gave.
+        """Add the permits of a grant.
 
         Args:
             endpoint: The endpoint.
-            grant: What it gave.
-            asked: Entry that was asked.
-            asked_at: When it was asked, seconds. It counts a permit from no earlier.
+            grant: What the issuer granted.
+            issuing_entry: Name of the entry that was asked.
+            requested_at: When it was asked, seconds. The issuer counts a permit from no
+                earlier time.
             now: Present time in seconds.
-            draw: A number from 0 to 1 that spreads the entries that ask again.
+            draw: A number from 0 to 1 that spreads repeated requests of entries.
         """
         permits = self.permits.setdefault(endpoint, [])
         for delay in grant.delays:
@@ -247,15 +249,15 @@
             self.reported_to[endpoint] = issuing_entry
 
     def revoke(self, endpoint: str) -> None:
-        """Forget what could be sent to an endpoint, since it takes less than before."""
+        """Revoke the right to send to an endpoint, because its limit decreased."""
         self.permits.pop(endpoint, None)
 
     def clear(self) -> None:
-        """Trust nothing, since the time may have stood still."""
+        """Revoke all rights to send, because the clock may have stood still."""
         self.permits.clear()
 
     def expire(self, now: float) -> None:
-        """Forget what is over."""
+        """Remove expired state."""
         for endpoint, requests in list(self.wanted.items()):
             recent = {
                 r: at for r, at in requests.items() if now - at <= PERMIT_LIFETIME
@@ -276,7 +278,7 @@
                 self.reported_to.pop(endpoint, None)
 
     def _valid(self, endpoint: str, now: float) -> list[Permit]:
-        """Return the permits that may still be used, the earliest first."""
+        """Return the permits that have not expired, the earliest first."""
         permits = self.permits.get(endpoint, [])
         permits[:] = [permit for permit in permits if permit.valid_until > now]
         return permits
--- a/packages/core/src/lacewingcourse/core/pipelines/permits.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/permits.py
@@ -1,4 +1,4 @@
-"""Permits to send to an endpoint that names a limit, given out by one entry."""
+"""Permits to send to a rate-limited endpoint, issued by one entry."""
 
 from __future__ import annotations
 
@@ -13,31 +13,32 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Seconds over which the sends to an endpoint are counted.
+#: Seconds of the sliding window over which the sends to an endpoint are counted.
 WINDOW = 4.0
-#: Times the limit that is given out in a window that begins with more than the limit,
-#: and permits besides.
+#: Bound on the permits and reported sends of a window: a multiple of the limit and some
+#: extra permits. It takes effect where the sends of a window already exceed the limit.
 WINDOW_FACTOR = 1.25
 WINDOW_EXTRA = 2
-#: Seconds ahead for which permits are given out. One that is given out long before its
-#: time is lost if the request that wanted it does not wait so long.
+#: Seconds ahead for which permits are issued. A permit issued long before it becomes
+#: valid is lost if its request does not wait that long.
 HORIZON = 0.05
-#: Seconds after its time in which a permit must be used.
+#: Seconds after it becomes valid in which a permit must be used.
 PERMIT_LIFETIME = 1.0
-#: Part of a window's permits that the entry that gives them out takes itself while it
-#: knows others. Where two entries both take themselves for it, the sum stays bounded.
+#: Share of a window's permits that the issuing entry takes itself while it knows other
+#: entries. It bounds the sum where two entries both act as the issuer.
 OWN_SHARE = 0.5
-#: Permits that are given out at a time at the most.
+#: Permits in one grant at most.
 MAX_PERMITS = 64
-#: Seconds after its last permit in which an endpoint's permits are forgotten. Well
-#: above the time between two permits at the lowest rate: what begins anew begins empty.
+#: Seconds after its last permit in which an endpoint's ledger is removed. Far longer
+#: than the time between two permits at the lowest rate, because a new ledger starts
+#: without permits to issue.
 LEDGER_RETENTION = 60.0
 #: Bytes of the hash that ranks entries.
 RANK_BYTES = 8
 
 
 def issuer_of(endpoint: str, entries: Iterable[str]) -> str:
-    """Return the entry that gives out the permits of an endpoint.
+    """Return the entry that issues the permits of an endpoint, by rendezvous hashing.
 
     Args:
         endpoint: The endpoint.
@@ -53,13 +54,13 @@
 
 @attrs.frozen
 class Grant:
-    """What an entry is given.
+    """Answer to a request for permits.
 
     Attributes:
-        issuer: Who counts the permits: one process of the entry that was asked, empty
-            if it gave none.
-        delays: Seconds until each permit may be used.
-        retry_in: Seconds after which it is worth asking again.
+        issuer: Process that counts the permits, named by its entry and its start; empty
+            if it granted none.
+        delays: Seconds until each permit becomes valid.
+        retry_in: Seconds after which a further request may succeed.
     """
 
     issuer: str
@@ -69,13 +70,13 @@
 
 @attrs.frozen
 class PermitDemand:
-    """What an entry asks for.
+    """Request of an entry for permits.
 
     Attributes:
         entry: Name of the entry.
         count: Permits that it can use.
-        ages: Seconds since its sends to the endpoint in the last window, without
-            those for which it had permits of the issuer that it asks.
+        ages: Seconds since each of its sends to the endpoint within the last window,
+            without those that used a permit of the issuer that it asks.
     """
 
     entry: str
@@ -85,16 +86,16 @@
 
 @attrs.define
 class PermitLedger:
-    """The permits of one endpoint, as the entry that gives them out counts them.
+    """The permits of one endpoint, as its issuer counts them.
 
-    Each permit has a time, and times are as far apart as the limit says, so permits
-    that nobody uses leave nothing over for a burst. An entry that has just begun to
-    give out permits begins empty: what the one before it gave out may still be used.
+    Each permit has a time, and these times are spaced by the limit, so unused permits
+    do not add up to a burst. A new issuer starts without permits to issue, because
+    those of the previous one may still be used.
 
     Attributes:
         last: Time of the last permit, seconds.
         times: Times of the permits of the last window.
-        own: Those among them that this entry took itself.
+        own: Those of them that this entry took itself.
         reported: Times of other sends in the last window, by entry.
     """
 
@@ -106,13 +107,13 @@
     def grant(
         self, demand: PermitDemand, rate: float, now: float, own: bool
     ) -> tuple[list[float], float]:
-        """Give out permits; return their delays, and when to ask again in seconds.
+        """Issue permits; return their delays and the seconds until the next request.
 
         Args:
-            demand: What is asked for.
-            rate: Requests a second that the endpoint takes.
+            demand: The request.
+            rate: Requests per second that the endpoint takes.
             now: Present time in seconds.
-            own: Whether this entry asks itself while it knows others.
+            own: Whether this entry requests them itself while it knows other entries.
         """
         count = min(demand.count, MAX_PERMITS)
         if rate == NO_LIMIT:
@@ -153,11 +154,11 @@
 
 @attrs.define
 class PermitIssuer:
-    """Gives out the permits of the endpoints that fall to this entry.
+    """Issues the permits of the endpoints that are assigned to this entry.
 
     Attributes:
-        name: Name of this entry with the start of its process, since a later process
-            knows nothing of the permits.
+        name: Name of this entry and its start, since a restarted process knows nothing
+            of earlier permits.
         ledgers: Permits by endpoint.
     """
 
@@ -172,33 +173,33 @@
         now: float,
         own: bool = False,
     ) -> Grant:
-        """Give out permits of an endpoint.
+        """Issue permits of an endpoint.
 
         Args:
             endpoint: The endpoint.
-            demand: What is asked for.
-            rate: Requests a second that the endpoint takes.
+            demand: The request.
+            rate: Requests per second that the endpoint takes.
             now: Present time in seconds.
-            own: Whether this entry asks itself while it knows others.
+            own: Whether this entry requests them itself while it knows other entries.
         """
         ledger = self.ledgers.setdefault(endpoint, PermitLedger(now))
         delays, retry_in = ledger.grant(demand, rate, now, own)
         return Grant(self.name, tuple(delays), retry_in)
 
     def expire(self, now: float) -> None:
-        """Forget the permits of endpoints for which nobody asks any more."""
+        """Remove the ledgers of endpoints whose permits nobody requests any more."""
         for endpoint, ledger in list(self.ledgers.items()):
             if now - ledger.last > LEDGER_RETENTION:
                 del self.ledgers[endpoint]
 
 
 def _earliest_time(times: Iterable[float], most: float, at: float) -> float:
-    """Return from when a window that ends there has room for one more.
+    """Return the earliest time at which the window that ends then has a free slot.
 
     Args:
         times: Times that count.
         most: Times that a window may hold, at least 1.
-        at: The earliest answer.
+        at: Lower bound of the result.
     """
     counted = sorted(time for time in times if time > at - WINDOW)
     excess = len(counted) + 1 - int(most)
@@ -212,9 +213,9 @@
     """A right to send one request.
 
     Attributes:
-        since: Time from which it may be used, seconds.
-        until: Time until which it must be used, seconds.
-        issuer: Who gave it out.
+        valid_from: Time from which it may be used, seconds.
+        valid_until: Time until which it must be used, seconds.
+        issuer: Process that issued it.
     """
 
     valid_from: float
--- a/packages/core/src/lacewingcourse/core/pipelines/request_limits.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/request_limits.py
@@ -1,4 +1,4 @@
-"""Limits that endpoints name: requests a second from all entries together."""
+"""Request limits that endpoints advertise: requests per second over all entries."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
 
-#: Limit of an endpoint that names none.
+#: Limit of an endpoint that advertises none.
 NO_LIMIT = inf
-#: Requests a second that an endpoint gets which names less. Without any answer nobody
-#: would notice that it takes more again.
+#: Lowest rate in requests per second at which a limited endpoint is sent requests.
+#: Without any answer nobody would notice that it takes more again.
 MIN_RATE = 0.1
-#: Seconds in which the rate in force doubles after a limit was raised or withdrawn. The
-#: load that brought the endpoint into need would otherwise be back at once.
+#: Seconds in which the effective rate doubles after a limit was raised or withdrawn.
+#: Otherwise the load that overloaded the endpoint would return at once.
 DOUBLING_TIME = 1.0
-#: Seconds after which a limit that was withdrawn is over.
+#: Seconds after a limit was raised or withdrawn at which the gradual increase ends.
 RELEASE_TIME = 5.0
-#: Seconds for which it is remembered after that, against news of it that come late.
+#: Seconds for which a withdrawn limit is remembered, to reject late reports of it.
 LIMIT_RETENTION = 15.0
-#: Part of a limit below which another one is a fall. Endpoints may name another one
-#: with each answer.
+#: Ratio of the new to the old limit below which a change counts as a decrease.
+#: Endpoints may advertise a slightly different limit with each answer.
 DECREASE_THRESHOLD = 0.8
-#: Seconds by which another entry's word must be newer to be taken over. Messages take
-#: time that their age does not count.
+#: Seconds by which a peer's report must be newer than the known limit to replace it.
+#: The age in a report does not include the time it took to arrive.
 MIN_NEWER = 0.05
 
 
 @attrs.define
 class RequestLimit:
-    """What an endpoint named last.
+    """The limit that an endpoint advertised last.
 
     Attributes:
-        named: Requests a second that it takes, `NO_LIMIT` once it named none again.
-        observed_at: When it last said so, seconds.
-        changed_at: When it first said so, seconds.
-        rate_before: Requests a second that were in force then.
+        named: Requests per second that it takes, `NO_LIMIT` once it advertises none.
+        observed_at: When it was last advertised, seconds.
+        changed_at: When this value was first advertised, seconds.
+        rate_before: Requests per second that were in effect before.
     """
 
     named: float
@@ -47,16 +47,16 @@
     rate_before: float = NO_LIMIT
 
     def update(self, named: float, observed_at: float, now: float) -> None:
-        """Take what the endpoint names."""
+        """Record what the endpoint advertises."""
         self.observed_at = observed_at
         if named != self.named:
             self.rate_before = self.rate(now)
             self.named, self.changed_at = named, now
 
     def rate(self, now: float) -> float:
-        """Return the requests a second that may be sent now.
+        """Return the requests per second that may be sent now.
 
-        One that falls holds at once, one that rises or ends is followed in steps.
+        A decrease takes effect at once; an increase or withdrawal does so gradually.
         """
         elapsed = now - self.changed_at
         if elapsed >= RELEASE_TIME:
@@ -65,33 +65,35 @@
         return max(MIN_RATE, min(self.named, rising))
 
     def is_expired(self, now: float) -> bool:
-        """Tell whether it was withdrawn so long ago that nobody tells of it."""
+        """Tell whether it was withdrawn too long ago for late reports of it."""
         return self.named == NO_LIMIT and now - self.changed_at > LIMIT_RETENTION
 
 
 @attrs.define
 class LimitTable:
-    """The limits that endpoints have named.
+    """The limits that endpoints have advertised.
 
     Attributes:
-        members: Limits by id of the endpoint; no endpoint that never named one.
-        on_fall: Called with an endpoint that names its first limit, or one well below
-            its last.
+        members: Limits by id of the endpoint; endpoints that never advertised one are
+            left out.
+        on_decrease: Called with an endpoint that advertises its first limit, or one
+            well below its last.
     """
 
     members: dict[str, RequestLimit] = attrs.field(factory=dict)
     on_decrease: Callable[[str], None] = lambda endpoint: None
 
     def observe(self, endpoint: str, named: float, sent_at: float, now: float) -> bool:
-        """Take what an endpoint names in an answer; tell whether that is new.
+        """Record the limit in an answer; tell whether it differs from the last one.
 
-        Answers overtake one another, so only one to a request that was sent after the
-        limit was last named ends it.
+        Answers may arrive out of order, so a limit is withdrawn only by the answer to a
+        request that was sent after the limit was last observed.
 
         Args:
             endpoint: The endpoint.
-            named: Requests a second that it names, `NO_LIMIT` if it names none.
-            sent_at: When the request was sent that it answers, seconds.
+            named: Requests per second that it advertises, `NO_LIMIT` if it advertises
+                none.
+            sent_at: When the request to this answer was sent, seconds.
             now: Present time in seconds.
         """
         known = self.members.get(endpoint)
@@ -100,12 +102,13 @@
         return self._update(endpoint, named, now, now)
 
     def from_peer(self, endpoint: str, named: float, age: float, now: float) -> bool:
-        """Take what another entry heard of an endpoint; tell whether that is new.
+        """Merge the limit that a peer reports; tell whether it is a different one.
 
         Args:
             endpoint: The endpoint.
-            named: Requests a second that it named, `NO_LIMIT` if it named none.
-            age: Seconds since the other entry heard it.
+            named: Requests per second that it advertised, `NO_LIMIT` if it advertised
+                none.
+            age: Seconds since the peer observed it.
             now: Present time in seconds.
         """
         known = self.members.get(endpoint)
@@ -117,21 +120,21 @@
         return self._update(endpoint, named, observed_at, now)
 
     def named(self, endpoint: str) -> float:
-        """Return the requests a second that an endpoint named last."""
+        """Return the requests per second that an endpoint advertised last."""
         known = self.members.get(endpoint)
         return known.named if known is not None else NO_LIMIT
 
     def rate(self, endpoint: str, now: float) -> float:
-        """Return the requests a second that an endpoint may be sent now."""
+        """Return the requests per second that an endpoint may be sent now."""
         known = self.members.get(endpoint)
         return known.rate(now) if known is not None else NO_LIMIT
 
     def limited(self) -> list[str]:
-        """Return the endpoints that name a limit."""
+        """Return the endpoints that advertise a limit."""
         return [e for e, limit in self.members.items() if limit.named != NO_LIMIT]
 
     def observations(self, now: float) -> dict[str, tuple[float | None, float]]:
-        """Return what endpoints named, None for no limit, and seconds since then."""
+        """Return the limit of each endpoint, None for none, and its age in seconds."""
         return {
             endpoint: (
                 None if limit.named == NO_LIMIT else limit.named,
@@ -141,10 +144,10 @@
         }
 
     def expire(self, present: Collection[str], now: float) -> None:
-        """Forget limits that are over, and those of endpoints that are gone.
+        """Remove expired limits, and those of endpoints that no longer exist.
 
         Args:
-            present: Ids of the endpoints that there are.
+            present: Ids of the endpoints that exist.
             now: Present time in seconds.
         """
         for endpoint, limit in list(self.members.items()):
@@ -155,7 +158,7 @@
     def _update(
         self, endpoint: str, named: float, observed_at: float, now: float
     ) -> bool:
-        """Take what an endpoint names; tell whether that is something else."""
+        """Record a limit; tell whether it differs from the last one."""
         before = self.named(endpoint)
         known = self.members.get(endpoint)
         if known is None:
--- a/packages/core/src/lacewingcourse/core/pipelines/send_limits.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/send_limits.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent to an endpoint that names a limit."""
+"""Decisions on whether a request may be sent to a rate-limited endpoint."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @attrs.define
 class SendLimits:
-    """Decides whether a request may be sent to an endpoint that names a limit.
+    """Decides whether a request may be sent to an endpoint that advertises a limit.
 
     A request holds its right to be sent while it connects to the endpoint that was
-    chosen for it, as it holds a retry.
+    chosen for it, in the same way as it holds a retry.
 
     Attributes:
-        table: The limits that endpoints have named.
+        table: The limits that endpoints have advertised.
         sharing: This entry's part of them.
         holds: Requests that are to be sent, by endpoint.
-        on_want: Called when a request is to be sent to a limited endpoint.
-        on_fall: Called when an endpoint takes less than before.
+        on_demand: Called when a request is to be sent to a limited endpoint.
+        on_decrease: Called when the limit of an endpoint decreases.
     """
 
     table: LimitTable = attrs.field(factory=LimitTable)
@@ -42,12 +42,12 @@
         return {e for e in self.table.members if not self.allows(e, now)}
 
     def note_demand(self, endpoint: str, request: Hashable, now: float) -> None:
-        """Note that a request is to be sent to a limited endpoint."""
+        """Record that a request is to be sent to a limited endpoint."""
         self.sharing.note_demand(endpoint, request, now)
         self.on_demand()
 
     def allows(self, endpoint: str, now: float) -> bool:
-        """Tell whether an endpoint may be sent a request beside those to be sent."""
+        """Tell whether an endpoint may be sent a request beside those held."""
         rate = self.table.rate(endpoint, now)
         if rate == NO_LIMIT:
             return True
@@ -72,12 +72,15 @@
         return True
 
     def release(self, request: Hashable) -> None:
-        """Give back the right that a request holds."""
+        """Release the right that a request holds."""
         for requests in self.holds.values():
             requests.discard(request)
 
     def may_send(self, endpoint: str, request: Hashable, now: float) -> bool:
-        """Tell whether a request may be sent, with the right that it holds or one."""
+        """Tell whether a request may be sent, by the right it holds or a free one.
+
+        The request holds no right afterwards.
+        """
         self.release(request)
         return self.allows(endpoint, now)
 
@@ -92,7 +95,7 @@
     def next_in(self, endpoints: Iterable[str], now: float) -> float:
         """Return the seconds until a request may be sent to one of some endpoints.
 
-        It is 0 if that is not known yet.
+        It is 0 if that is unknown.
 
         Args:
             endpoints: The endpoints, at least one.
@@ -104,10 +107,10 @@
         )
 
     def expire(self, present: Collection[str], now: float) -> None:
-        """Forget what is over.
+        """Remove expired state.
 
         Args:
-            present: Ids of the endpoints that there are.
+            present: Ids of the endpoints that exist.
             now: Present time in seconds.
         """
         self.table.expire(present, now)
@@ -115,7 +118,7 @@
         self.holds = {endpoint: held for endpoint, held in self.holds.items() if held}
 
     def _on_decrease(self, endpoint: str) -> None:
-        """Keep a limit that has fallen, from now on."""
+        """Enforce a decreased limit at once."""
         self.sharing.revoke(endpoint)
         self.on_demand()
         self.on_decrease()
