--- a/packages/core/src/lacewingcourse/core/pipelines/retry_budget.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/retry_budget.py
@@ -1,4 +1,4 @@
-"""How many requests may be sent again, over all entries."""
+"""Budget of retries, shared by all entries."""
 
 from __future__ import annotations
 
@@ -13,34 +13,35 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Hashable
 
-#: Share of what the deployment allows that is used; entries count their own requests
-#: only, and windows of different entries do not end together.
+#: Share of the deployment's allowance that is used. Entries count only their own
+#: requests, and the windows of different entries do not end together.
 SAFETY_SHARE = 0.7
-#: Share of an entry's retries that is kept for requests which cannot be refused truly.
-#: The caller of any other one can come back.
+#: Share of an entry's retries that is reserved for requests which can no longer be
+#: refused. The callers of other requests can retry themselves.
 RESERVED_SHARE = 0.25
-#: Share of the retries left that an entry lends at a time.
+#: Share of its unused retries that an entry lends at a time.
 LENT_SHARE = 0.5
-#: Seconds after it was asked for in which a borrowed retry must be used.
+#: Seconds after the request for it in which a borrowed retry must be used.
 LOAN_LIFETIME = 1.0
-#: Seconds after its start by which an entry has heard of the others and they of it. No
-#: less than `LOAN_TIME`, in which loans of the process before are used.
+#: Seconds after its start in which an entry and the others have received messages of
+#: each other. At least `LOAN_LIFETIME`, so that loans to the previous process have
+#: expired.
 PEER_DISCOVERY_TIME = 3.0
 
-#: How entries share the slack: returns how many retries one asks others for, from how
-#: many of its requests lack one.
+#: Policies for sharing the slack between entries: each returns how many retries to
+#: request from others, from the number of requests that lack one.
 RETRY_SHARING_POLICIES: Registry[Callable[[int], int]] = Registry("sharing of retries")
 
 
 @RETRY_SHARING_POLICIES.register("even")
 def ask_for_none(lacking: int) -> int:
-    """Ask for nothing: each entry has its even share."""
+    """Request nothing: each entry has its even share."""
     return 0
 
 
 @RETRY_SHARING_POLICIES.register("lent")
 def ask_for_all(lacking: int) -> int:
-    """Ask for what is lacking."""
+    """Request all that is lacking."""
     return lacking
 
 
@@ -49,29 +50,30 @@
     """Sends beyond the first of each request, in a sliding window.
 
     Each entry has the retries that its own requests allow and an even share of the
-    slack. What it lacks it borrows from others: the lender counts what it lends as used
-    at the end of the time in which that may be used, so the sum over all entries stays
-    within what is allowed however late or lost the messages are.
+    slack. It borrows from others what it lacks. The lender counts lent retries as used
+    at the end of the loan, so the sum over all entries stays within the allowance
+    however late messages arrive or how many are lost.
 
-    A process that has started knows neither how many entries there are nor what the
-    process before it used or lent. Until no window holds any of that, it has only what
-    the safety share leaves over, and that in proportion to its age: all processes that
-    start in an entry within one window have that part once together.
+    A process that has just started knows neither the number of entries nor what the
+    previous process used or lent. Until no window can contain any of that, it has only
+    what the safety share leaves over, in proportion to its age: all processes that
+    start in an entry within one window use that part once in total.
 
     A request holds a retry while it connects to the endpoint that was chosen for it.
-    Only a send counts, and takes only what is left then: a hold keeps others from a
-    retry, and gives no right to more than there is.
+    Only the send is counted, and it needs an unused retry at that time: a hold keeps
+    others from taking the retry, but does not guarantee it.
 
     Attributes:
         ratio: Retries that are allowed for each request.
         window: Length of the window in seconds.
-        slack: Retries that are allowed besides, over all entries.
-        entries: Most entries that were known to be alive at once.
-        known: Entries that are known now, silent and ending ones among them.
+        slack: Retries that are allowed in addition, over all entries.
+        entries: Largest number of entries known to be alive at the same time.
+        known_entries: Entries known now, including silent ones and those that are
+            shutting down.
         started_at: When this process started, seconds.
         has_predecessor: Whether another process may have had the share before.
         requests: Times of the requests in the window, by service.
-        retries: Times from which retries count, used here or lent, by service.
+        retries: Times from which used or lent retries count, by service.
         loans: Times until which borrowed retries may be used, by service.
         holds: Requests that hold a retry, by service.
         wanted: Requests that lacked a retry since others were last asked, by service.
@@ -91,18 +93,18 @@
     wanted: dict[str, set[str]] = attrs.field(factory=dict)
 
     def on_request(self, service: str, now: float) -> None:
-        """Note a request."""
+        """Record a request."""
         times = self.requests.setdefault(service, deque())
         self._drop_old(times, now)
         times.append(now)
 
     def allows(self, service: str, now: float, reserved: bool = True) -> bool:
-        """Tell whether a retry is left for a service that no request holds.
+        """Tell whether a service has a retry left that no request holds.
 
         Args:
             service: The service.
             now: Present time in seconds.
-            reserved: Whether the retry may be one of those kept for requests that
+            reserved: Whether the retry may be one of those reserved for requests that
                 cannot be refused.
         """
         if len(self._loans(service, now)) > len(self.holds.get(service, ())):
@@ -113,13 +115,13 @@
     def hold(
         self, service: str, request: Hashable, now: float, reserved: bool = True
     ) -> bool:
-        """Hold a retry for a request; tell whether one is left.
+        """Hold a retry for a request; tell whether one was left.
 
         Args:
             service: The service.
-            request: The request. It holds one retry, however often it asks.
+            request: The request. It holds one retry, however often this is called.
             now: Present time in seconds.
-            reserved: Whether the retry may be one of those kept for requests that
+            reserved: Whether the retry may be one of those reserved for requests that
                 cannot be refused.
         """
         held = self.release(service, request)
@@ -129,7 +131,7 @@
         return True
 
     def release(self, service: str, request: Hashable) -> bool:
-        """Give back the retry that a request holds; tell whether it held one."""
+        """Release the retry that a request holds; tell whether it held one."""
         holds = self.holds.get(service)
         if not holds or request not in holds:
             return False
@@ -137,7 +139,7 @@
         return True
 
     def take(self, service: str, now: float, request: Hashable | None = None) -> bool:
-        """Take one retry for a service; tell whether it was allowed.
+        """Use one retry of a service; tell whether it was allowed.
 
         Args:
             service: The service.
@@ -155,11 +157,17 @@
         return True
 
     def want(self, service: str, request: str) -> None:
-        """Note a request that lacks a retry."""
+        """Record a request that lacks a retry."""
         self.wanted.setdefault(service, set()).add(request)
 
     def lend(self, service: str, wanted: int, now: float) -> int:
-        """Return how many retries are lent to another entry that wants some."""
+        """Lend retries to another entry; return how many.
+
+        Args:
+            service: The service.
+            wanted: Retries that the other entry requests.
+            now: Present time in seconds.
+        """
         free = LENT_SHARE * self._unheld(service, now)
         lent = max(0, min(wanted, floor(free)))
         until = now + LOAN_LIFETIME
@@ -167,30 +175,30 @@
         return lent
 
     def borrow(self, service: str, count: int, requested_at: float) -> None:
-        """Take retries that another entry lent.
+        """Add retries that another entry lent.
 
         Args:
             service: The service.
             count: How many.
-            asked_at: When they were asked for, seconds. The lender counts them from
-                no earlier, however long its answer took.
+            requested_at: When they were requested, seconds. The lender counts them from
+                no earlier time, however long its answer took.
         """
         loans = self.loans.setdefault(service, [])
         loans.extend([requested_at + LOAN_LIFETIME] * count)
         loans.sort()
 
     def drop_loans(self) -> None:
-        """Forget what was borrowed, since the time may have stood still."""
+        """Discard borrowed retries, because the clock may have stood still."""
         self.loans.clear()
 
     def _limit(self, service: str, now: float) -> float:
-        """Return the retries of this entry in a window."""
+        """Return the retries that this entry has in a window."""
         requests = self.requests.get(service)
         count = 0 if requests is None else self._drop_old(requests, now)
         return SAFETY_SHARE * (self.ratio * count) + self._slack_share(now)
 
     def _slack_share(self, now: float) -> float:
-        """Return the part of the slack that is this entry's own."""
+        """Return this entry's share of the slack."""
         age = now - self.started_at
         if age < PEER_DISCOVERY_TIME:
             return 0.0
@@ -201,19 +209,19 @@
         return SAFETY_SHARE * share
 
     def _unused(self, service: str, now: float) -> float:
-        """Return the retries of its own that this entry may still use."""
+        """Return this entry's own retries that are not used or lent yet."""
         since = now - self.window
         used = [time for time in self.retries.get(service, ()) if time > since]
         self.retries[service] = used
         return self._limit(service, now) - len(used)
 
     def _unheld(self, service: str, now: float) -> float:
-        """Return the retries of its own that no request of this entry holds."""
+        """Return this entry's own unused retries that no request holds."""
         held = len(self.holds.get(service, ())) - len(self._loans(service, now))
         return self._unused(service, now) - max(0, held)
 
     def _loans(self, service: str, now: float) -> list[float]:
-        """Return the borrowed retries that may be used."""
+        """Return the expiry times of the borrowed retries that may be used."""
         loans = self.loans.get(service)
         if not loans:
             return []
@@ -221,7 +229,7 @@
         return loans
 
     def _drop_old(self, times: deque[float], now: float) -> int:
-        """Drop the times before the window; return how many are left."""
+        """Remove the times before the window; return how many are left."""
         while times and times[0] <= now - self.window:
             times.popleft()
         return len(times)
--- a/packages/core/src/lacewingcourse/core/pipelines/shutdown.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/shutdown.py
@@ -1,4 +1,4 @@
-"""Which requests an instance still takes once it was asked to end."""
+"""Policies for which requests an instance still accepts during its shutdown."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Share of the grace time that an answer of unknown length is expected to take.
+#: Share of the grace period that an answer of unknown duration is expected to take.
 UNKNOWN_SHARE = 0.65
-#: Seconds after the request to end in which the balancer sends callers here that it
-#: sends nowhere else: it asks once a second and heeds the second miss.
+#: Seconds after the shutdown request in which the balancer still sends callers to this
+#: instance. It probes once a second and reacts to the second failure.
 REDIRECT_TIME = 2.5
 
 
 @attrs.frozen
 class AnswerTime:
-    """How long the answer to a request may take.
+    """Duration that the answer to a request may have.
 
     Attributes:
         expected: Seconds that nearly all answers of its route take, None if unknown.
-        limit: Seconds until the time of the route or of the caller is over.
-        grace: Seconds between the request to end and the end of the instance.
-        since_asked: Seconds since the request to end.
+        limit: Seconds until the timeout of the route or of the caller.
+        grace: Seconds between the shutdown request and the end of the instance.
+        since_asked: Seconds since the shutdown request.
     """
 
     expected: float | None
@@ -35,8 +35,8 @@
     since_asked: float
 
 
-#: Which requests are taken by an instance that is ending: tells whether one is, from
-#: how long its answer may take and the seconds that are left.
+#: Policies for which requests an instance accepts during its shutdown: each tells
+#: whether to accept one, from the duration of its answer and the seconds left.
 LAST_REQUESTS: Registry[Callable[[AnswerTime, float], bool]] = Registry(
     "choice of last requests"
 )
@@ -44,13 +44,13 @@
 
 @LAST_REQUESTS.register("none")
 def admit_none(time: AnswerTime, left: float) -> bool:
-    """Take no request: its caller asks another instance at once."""
+    """Accept no request: its caller retries at another instance at once."""
     return False
 
 
 @LAST_REQUESTS.register("expected")
 def admit_expected(time: AnswerTime, left: float) -> bool:
-    """Take what is expected to end in time.
+    """Accept a request whose answer is expected to end in time.
 
     One answer in twenty lasts longer than expected and may be cut off.
     """
@@ -62,19 +62,19 @@
 
 @LAST_REQUESTS.register("limited")
 def admit_limited(time: AnswerTime, left: float) -> bool:
-    """Take what is over in time by the limit of its route or caller.
+    """Accept a request whose route or caller limit ends it in time.
 
-    No pace seen before bounds an answer whose endpoints may slow down meanwhile.
+    Past speed gives no bound for an answer, because its endpoints may slow down.
     """
     return time.limit <= left
 
 
 @LAST_REQUESTS.register("redirected")
 def admit_until_redirected(time: AnswerTime, left: float) -> bool:
-    """Take what is expected to end in time, later what is over by its limit.
+    """Accept by the expected duration at first, and by the limit later.
 
-    A caller that is refused before the balancer has noticed meets the same instance
-    again. Later it finds another one, so nothing is risked for it any more.
+    A caller that is refused before the balancer reacts reaches the same instance again.
+    Afterwards it reaches another one, so no risk is taken for it any more.
     """
     if time.since_asked <= REDIRECT_TIME:
         return admit_expected(time, left)
