--- a/packages/core/src/lacewingcourse/core/pipelines/stalls.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/stalls.py
@@ -1,4 +1,4 @@
-"""Which streams stand still because an endpoint on their path does."""
+"""Detection of streams that stall because an endpoint on their path does."""
 
 from __future__ import annotations
 
@@ -9,47 +9,48 @@
 if TYPE_CHECKING:
     from lacewingcourse.core.pipelines.path import Part, Path
 
-#: Times its usual pause after which a silent stream is looked at. To look asks
-#: endpoints whether they live; a busy one answers and nothing else happens.
+#: Multiple of its usual pause after which a silent stream is checked. A check probes
+#: endpoints; a busy endpoint answers the probe, and nothing else happens.
 SILENCE_FACTOR = 2.0
-#: Shares of the pause that its route allows which are the shortest and the longest
-#: silence after which a stream is looked at. What is left has to hold the question and
-#: the reading of the prompt on another path.
+#: Bounds of the silence after which a stream is checked, as shares of the gap that its
+#: route allows between two events. The rest must suffice for the probe and for
+#: processing the prompt on another path.
 MIN_SILENCE_SHARE = 0.3
 MAX_SILENCE_SHARE = 0.6
-#: Seconds that a route's pause counts as at the most; callers leave after two seconds
-#: of silence whatever the route allows.
+#: Upper bound in seconds for the gap of a route in these rules. Callers leave after two
+#: seconds of silence whatever the route allows.
 MAX_GAP = 0.3
-#: Share of the objective without a first event after which a stream is looked at.
+#: Share of its objective after which a stream without a first event is checked.
 FIRST_EVENT_SHARE = 0.35
-#: Seconds that an objective counts as at the most.
+#: Upper bound in seconds for an objective in these rules.
 MAX_OBJECTIVE = 1.0
-#: Share of the pause that its route allows, and times its own usual pause, after which
-#: a stream's endpoints are asked if all others through one of them are silent too.
-#: Several streams seldom pause together on an endpoint that lives.
+#: Early check of endpoints through which all streams are silent: the silence needed of
+#: each stream, as a share of its route's gap and as a multiple of its usual pause.
+#: Several streams rarely pause together on an endpoint that is alive.
 EARLY_SHARE = 0.2
 EARLY_FACTOR = 1.5
-#: Streams that must have fallen silent together.
+#: Streams through an endpoint that must be silent together for an early check.
 MIN_EARLY_STREAMS = 2
-#: Seconds in which another stream must have been heard, or this entry itself may be
-#: what stands still.
+#: Seconds in which another stream must have received an event; otherwise this entry
+#: itself may have stalled.
 RECENT_ARRIVAL = 0.05
-#: Weight of the newest pause in the usual one.
+#: Weight of the newest pause in the moving average.
 PAUSE_WEIGHT = 0.2
-#: Seconds that are taken as the usual pause of a stream without any yet.
+#: Seconds assumed as the usual pause of a stream before its first one.
 INITIAL_PAUSE = 0.04
 
 
 @attrs.define(eq=False)
 class WatchedStream:
-    """A stream that passes events on.
+    """A stream that forwards events.
 
     Attributes:
         path: Its path.
-        progressed_at: When its last event arrived, seconds.
+        progressed_at: When its last event arrived, or when it was sent if none has,
+            seconds.
         gap: Seconds that its route allows between two events.
         objective: Seconds in which its route wants the first event.
-        pause: Its usual pause between two arrivals, seconds.
+        pause: Moving average of the pauses between its events, seconds.
         begun: Whether an event has arrived.
     """
 
@@ -61,7 +62,7 @@
     begun: bool = False
 
     def progress(self, now: float) -> None:
-        """Note an arrival."""
+        """Record the arrival of events."""
         if not self.begun:
             self.begun = True
             self.progressed_at = now
@@ -72,7 +73,7 @@
 
     @property
     def silence_timeout(self) -> float:
-        """Seconds of silence after which it is looked at."""
+        """Seconds of silence after which it is checked."""
         if not self.begun:
             return FIRST_EVENT_SHARE * min(self.objective, MAX_OBJECTIVE)
         gap = min(self.gap, MAX_GAP)
@@ -81,18 +82,19 @@
 
     @property
     def early_timeout(self) -> float:
-        """Seconds of silence after which it may be cut off."""
+        """Seconds of silence after which it may take part in an early check."""
         least = EARLY_SHARE * min(self.gap, MAX_GAP)
         return max(least, EARLY_FACTOR * self.pause)
 
 
 @attrs.frozen
 class SuspectedStall:
-    """A stream that may stand still.
+    """A stream that may have stalled.
 
     Attributes:
         watched: The stream.
-        unheard: Parts of its path that nothing passed lately.
+        silent_parts: Parts of its path through which no stream received events
+            recently.
     """
 
     watched: WatchedStream
@@ -101,11 +103,11 @@
 
 @attrs.define
 class StallWatch:
-    """Watches streams together: those through a dead endpoint fall silent at once.
+    """Compares streams: those through a dead endpoint fall silent at the same time.
 
-    A stream that is silent while others pass through all its endpoints only waits for
-    memory or its turn. Otherwise an endpoint that nothing passed may be dead or busy
-    with a long prompt: each of them is asked whether it lives.
+    A silent stream only waits for memory or its turn if others receive events through
+    all its endpoints. Otherwise an endpoint without events may be dead or busy with a
+    long prompt, and each of these is probed.
 
     Attributes:
         streams: The streams that are watched.
@@ -137,7 +139,7 @@
         self.streams.discard(watched)
 
     def silent(self, now: float) -> list[SuspectedStall]:
-        """Return the streams that may stand still."""
+        """Return the streams that may have stalled."""
         silent = [w for w in self.streams if now - w.progressed_at > w.silence_timeout]
         if not silent:
             return []
@@ -152,11 +154,11 @@
         return found
 
     def cut_off(self, now: float) -> list[SuspectedStall]:
-        """Return the streams that look cut off, with the parts not heard for them.
+        """Return the streams that appear cut off, with the parts to probe.
 
-        These pass an endpoint through which several streams go, all of which fell
-        silent, while others are heard. The endpoint may be any of those on their paths
-        through which nothing passed lately.
+        These use an endpoint that several streams pass through, all of them silent,
+        while other streams receive events. The cause may be any endpoint on their paths
+        all of whose streams are silent.
         """
         begun = [watched for watched in self.streams if watched.begun]
         if not any(now - w.progressed_at < RECENT_ARRIVAL for w in begun):
@@ -183,10 +185,10 @@
         ]
 
     def last_active(self, exclude: str) -> str | None:
-        """Return the address that something passed last, None if there is none.
+        """Return the address through which events came last, None if there is none.
 
         Args:
-            besides: An address that does not count.
+            exclude: An address to leave out.
         """
         active = [
             (watched.progressed_at, part.address)
@@ -197,7 +199,7 @@
         return max(active)[1] if active else None
 
     def _last_arrivals(self) -> dict[str, float]:
-        """Return when something last passed through each endpoint."""
+        """Return the time of the last event through each endpoint."""
         arrivals: dict[str, float] = {}
         for watched in self.streams:
             for part in watched.path.parts:
--- a/packages/core/src/lacewingcourse/core/pipelines/stamps.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/stamps.py
@@ -1,4 +1,4 @@
-"""When messages of other instances were composed, by this instance's own clock."""
+"""Bounds on when messages of other instances were composed, by the local clock."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @attrs.frozen
 class Echo:
-    """A time of the receiver's clock that a message carries back to it.
+    """A time of the receiver's clock that a message returns to it.
 
     Attributes:
-        stamp: The time, which the receiver sent, seconds.
+        stamp: The time that the receiver sent, seconds.
         held: Seconds from its arrival until the message was composed.
     """
 
@@ -20,24 +20,24 @@
 
 @attrs.define
 class StampTable:
-    """Bounds the time on the way of messages without comparing clocks.
+    """Bounds the transit time of messages without comparing clocks.
 
-    Instances send one another the time by their own clock. A message that carries it
-    back was composed no sooner than that time plus the seconds for which its sender had
-    held it, so the wait of the message on links and in queues counts as age of what it
-    tells.
+    Instances send each other the time of their own clock. A message that returns such a
+    time was composed no earlier than that time plus the seconds for which its sender
+    held it. The time that the message spent on links and in queues thus counts towards
+    the age of its content.
 
     Attributes:
-        started_at: When this instance started, seconds; older stamps are of another
-            process.
-        received: Last stamp of each other instance, and when it came.
+        started_at: When this instance started, seconds; older stamps belong to an
+            earlier process.
+        received: Last stamp of each other instance and its time of arrival, seconds.
     """
 
     started_at: float
     received: dict[str, tuple[float, float]] = attrs.field(factory=dict)
 
     def receive(self, sender: str, stamp: float, now: float) -> None:
-        """Note the stamp of a message.
+        """Record the stamp of a message.
 
         Args:
             sender: Name of the instance that sent it.
@@ -47,7 +47,7 @@
         self.received[sender] = (stamp, now)
 
     def echo(self, receiver: str, now: float) -> Echo | None:
-        """Return what a message carries back, None if its receiver was not heard."""
+        """Return the echo for a message, None if its receiver sent no stamp yet."""
         known = self.received.get(receiver)
         if known is None:
             return None
@@ -58,11 +58,11 @@
         """Return the earliest time at which a message may have been composed.
 
         Args:
-            echo: What it carries back, None for nothing.
+            echo: The echo in the message, None if it has none.
             now: Present time in seconds.
 
         Returns:
-            Seconds, None if that is not known.
+            Seconds, None if there is no valid echo.
         """
         if echo is None or echo.held < 0:
             return None
@@ -71,6 +71,6 @@
         return min(now, echo.stamp + echo.held)
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget the stamps of all but some instances."""
+        """Remove the stamps of all instances except some."""
         for name in self.received.keys() - names:
             del self.received[name]
