--- a/packages/core/tests/pipelines/limit_fleet.py
+++ b/packages/core/tests/pipelines/limit_fleet.py
@@ -24,22 +24,22 @@
 #: The endpoint.
 ENDPOINT = "a"
 #: Seconds that a message takes at the most, and a connection to the endpoint.
-DELAY = 0.01
-CONNECTING = 0.005
+MAX_MESSAGE_DELAY = 0.01
+CONNECT_TIME = 0.005
 #: Seconds after which a request that waits looks again.
-LOOK_AGAIN = 0.03
+RETRY_PERIOD = 0.03
 #: Seconds within which all entries know of what the endpoint names.
-SPREADING = 0.4
+PROPAGATION_TIME = 0.4
 #: Seconds without an answer after which one is not waited for any more, and after
 #: which it is asked for again.
-UNANSWERED = 0.6
+ANSWER_TIMEOUT = 0.6
 UNANSWERED_RETRY = 0.2
 #: Seconds after its start by which an entry has heard of the others and they of it.
-HEARD_AFTER = 0.2
+DISCOVERY_TIME = 0.2
 #: Seconds between two rounds in which entries forget what is over.
-HOUSEKEEPING = 0.25
+EXPIRY_PERIOD = 0.25
 #: When the limit is named, seconds.
-NAMED_AT = 6.0
+ADVERTISED_AT = 6.0
 
 
 @attrs.define
@@ -59,7 +59,7 @@
     limits: SendLimits
     issuer: PermitIssuer
     alive: list[str]
-    asking: bool = False
+    is_waiting: bool = False
     is_up: bool = True
 
 
@@ -80,7 +80,7 @@
         limit: float,
         seed: int,
         load: float = 3.5,
-        patience: float = 0.0,
+        max_wait: float = 0.0,
     ) -> None:
         """Make entries whose callers want more than the endpoint takes.
 
@@ -96,69 +96,71 @@
         self.now = 0.0
         self.limit = limit
         self.load = load * limit
-        self.patience = patience
-        self.check = LimitCheck(limit, NAMED_AT)
+        self.max_wait = max_wait
+        self.check = LimitCheck(limit, ADVERTISED_AT)
         self.sent: list[float] = []
         self.events: list = []
         self.order = count()
         names = [f"e{number:02}" for number in range(entries)]
-        self.entries = {name: self.make(name, sharing, names) for name in names}
+        self.entries = {name: self.make_entry(name, sharing, names) for name in names}
         # Callers are spread unevenly over the entries.
         self.weights = [self.rng.random() ** 2 + 0.05 for _ in names]
-        self.at(0.0, self.ask_for_one)
-        self.at(0.0, self.keep_house)
-        self.at(NAMED_AT, self.name)
+        self.schedule(0.0, self.generate_request)
+        self.schedule(0.0, self.expire_state)
+        self.schedule(ADVERTISED_AT, self.advertise)
 
-    def make(self, name: str, sharing: str, names: list[str]) -> LimitedEntry:
+    def make_entry(self, name: str, sharing: str, names: list[str]) -> LimitedEntry:
         """Return an entry that has just started."""
         limits = SendLimits(sharing=LIMIT_SHARING_POLICIES.get(sharing)())
         limits.sharing.entries = len(names)
         issuer = PermitIssuer(f"{name}#{self.now}")
         return LimitedEntry(name, limits, issuer, list(names))
 
-    def at(self, time: float, call: Callable[[], None]) -> None:
+    def schedule(self, time: float, call: Callable[[], None]) -> None:
         """Let something happen at some time."""
         heapq.heappush(self.events, (time, next(self.order), call))
 
-    def play(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         """Play until some time."""
         while self.events[0][0] <= until:
             self.now, _, call = heapq.heappop(self.events)
             call()
         self.now = until
 
-    def name(self, limit: float | None = None) -> None:
+    def advertise(self, limit: float | None = None) -> None:
         """Let the endpoint name its limit, or another one."""
         named = self.limit if limit is None else limit
         observed_at = self.now
         for entry in self.entries.values():
-            self.at(
-                self.now + self.rng.uniform(0, SPREADING),
-                lambda entry=entry: self.learn(entry, named, observed_at),
+            self.schedule(
+                self.now + self.rng.uniform(0, PROPAGATION_TIME),
+                lambda entry=entry: self.observe_limit(entry, named, observed_at),
             )
 
-    def learn(self, entry: LimitedEntry, named: float, observed_at: float) -> None:
+    def observe_limit(
+        self, entry: LimitedEntry, named: float, observed_at: float
+    ) -> None:
         """Let an entry learn of a limit, which it passes on to a caller."""
         entry.limits.table.observe(ENDPOINT, named, observed_at + 1e-6, self.now)
         self.check.pass_on(entry.name, self.now)
-        self.ask_issuer(entry)
+        self.request_permits(entry)
 
-    def ask_for_one(self) -> None:
+    def generate_request(self) -> None:
         """Let a caller send a request to some entry."""
-        self.at(self.now + self.rng.expovariate(self.load), self.ask_for_one)
+        self.schedule(self.now + self.rng.expovariate(self.load), self.generate_request)
         (name,) = self.rng.choices(list(self.entries), self.weights)
         if self.entries[name].is_up:
-            until = self.now + self.patience
+            until = self.now + self.max_wait
             self.try_to_send(self.entries[name], object(), until)
 
     def try_to_send(self, entry: LimitedEntry, request: object, until: float) -> None:
         """Let an entry send a request, now or a little later."""
         if entry.limits.hold(ENDPOINT, request, self.now):
-            self.at(self.now + CONNECTING, lambda: self.send(entry, request))
-        elif self.now + LOOK_AGAIN <= until:
-            again = self.now + LOOK_AGAIN
-            self.at(again, lambda: self.try_to_send(entry, request, until))
-        self.ask_issuer(entry)
+            self.schedule(self.now + CONNECT_TIME, lambda: self.send(entry, request))
+        elif self.now + RETRY_PERIOD <= until:
+            again = self.now + RETRY_PERIOD
+            self.schedule(again, lambda: self.try_to_send(entry, request, until))
+        self.request_permits(entry)
 
     def send(self, entry: LimitedEntry, request: object) -> None:
         """Send a request, if that is still allowed."""
@@ -166,74 +168,82 @@
             self.check.arrivals.append((self.now, entry.name))
             self.sent.append(self.now)
 
-    def ask_issuer(self, entry: LimitedEntry) -> None:
+    def request_permits(self, entry: LimitedEntry) -> None:
         """Let an entry ask for the permits that it lacks."""
         sharing = entry.limits.sharing
-        if not isinstance(sharing, PermitSharing) or entry.asking:
+        if not isinstance(sharing, PermitSharing) or entry.is_waiting:
             return
         rate = entry.limits.table.rate(ENDPOINT, self.now)
         issuer = issuer_of(ENDPOINT, entry.alive)
         demand = sharing.demand(entry.name, ENDPOINT, issuer, rate, self.now)
         if demand is None or ENDPOINT not in entry.limits.table.members:
             return
-        entry.asking = True
+        entry.is_waiting = True
         requested_at = self.now
-        there = self.now + (0 if issuer == entry.name else self.delay())
-        self.at(there, lambda: self.answer(entry, issuer, demand, requested_at))
+        arrives = self.now + (0 if issuer == entry.name else self.delay())
+        self.schedule(
+            arrives, lambda: self.answer_demand(entry, issuer, demand, requested_at)
+        )
 
-    def answer(self, entry, issuer, demand, requested_at) -> None:
+    def answer_demand(self, entry, issuer, demand, requested_at) -> None:
         """Let an issuer answer; one that takes another one for it gives nothing."""
         other = self.entries[issuer]
         if not other.is_up:
             nothing = Grant("", (), UNANSWERED_RETRY)
-            later = self.now + UNANSWERED
-            self.at(later, lambda: self.take(entry, nothing, issuer, requested_at))
+            later = self.now + ANSWER_TIMEOUT
+            self.schedule(
+                later, lambda: self.accept_grant(entry, nothing, issuer, requested_at)
+            )
             return
         back = self.now + (0 if issuer == entry.name else self.delay())
         if issuer_of(ENDPOINT, other.alive) != issuer:
-            self.at(back, lambda: self.end_asking(entry))
+            self.schedule(back, lambda: self.finish_demand(entry))
             return
         own = issuer == entry.name and len(other.alive) > 1
         rate = entry.limits.table.rate(ENDPOINT, self.now)
         grant = other.issuer.grant(ENDPOINT, demand, rate, self.now, own)
-        self.at(back, lambda: self.take(entry, grant, issuer, requested_at))
+        self.schedule(
+            back, lambda: self.accept_grant(entry, grant, issuer, requested_at)
+        )
 
-    def take(self, entry, grant, issuer, requested_at) -> None:
+    def accept_grant(self, entry, grant, issuer, requested_at) -> None:
         """Let an entry take what an issuer gave."""
         sharing, draw = entry.limits.sharing, self.rng.random()
         sharing.accept_grant(ENDPOINT, grant, issuer, requested_at, self.now, draw)
-        self.end_asking(entry)
+        self.finish_demand(entry)
 
-    def end_asking(self, entry) -> None:
+    def finish_demand(self, entry) -> None:
         """Let an entry ask again."""
-        entry.asking = False
+        entry.is_waiting = False
 
-    def restart(self, name: str, away: float) -> None:
+    def restart(self, name: str, downtime: float) -> None:
         """End an entry now, and start it again after some seconds."""
         old = self.entries[name]
         old.is_up = False
-        self.check.excuse(name, self.now, self.now + away)
-        self.at(self.now + PEER_SILENCE_TIMEOUT, lambda: self.notice(name, False))
-        self.at(self.now + away, lambda: self.come_back(name))
+        self.check.excuse(name, self.now, self.now + downtime)
+        self.schedule(
+            self.now + PEER_SILENCE_TIMEOUT, lambda: self.set_known_alive(name, False)
+        )
+        self.schedule(self.now + downtime, lambda: self.start_again(name))
 
-    def come_back(self, name: str) -> None:
+    def start_again(self, name: str) -> None:
         """Start an entry that knows nobody, and nothing of what was before it."""
         old = self.entries[name]
         sharing = "permits" if isinstance(old.limits.sharing, PermitSharing) else "even"
-        entry = self.entries[name] = self.make(name, sharing, [name])
-        self.at(self.now + HEARD_AFTER, lambda: self.meet(entry))
+        entry = self.entries[name] = self.make_entry(name, sharing, [name])
+        self.schedule(self.now + DISCOVERY_TIME, lambda: self.discover_peers(entry))
 
-    def meet(self, entry: LimitedEntry) -> None:
+    def discover_peers(self, entry: LimitedEntry) -> None:
         """Let an entry that has started and the others hear of one another."""
         entry.alive = [name for name, other in self.entries.items() if other.is_up]
         entry.limits.sharing.entries = len(self.entries)
-        self.notice(entry.name, True)
+        self.set_known_alive(entry.name, True)
         for other in self.entries.values():
             for endpoint, limit in other.limits.table.members.items():
                 age = self.now - limit.observed_at
                 entry.limits.table.from_peer(endpoint, limit.named, age, self.now)
 
-    def notice(self, name: str, is_up: bool) -> None:
+    def set_known_alive(self, name: str, is_up: bool) -> None:
         """Let all others notice that an entry runs, or that it does not."""
         for entry in self.entries.values():
             if entry.name == name:
@@ -243,16 +253,16 @@
 
     def delay(self) -> float:
         """Return the seconds that a message takes."""
-        return self.rng.uniform(0.0005, DELAY)
+        return self.rng.uniform(0.0005, MAX_MESSAGE_DELAY)
 
-    def keep_house(self) -> None:
+    def expire_state(self) -> None:
         """Let entries forget what is over."""
-        self.at(self.now + HOUSEKEEPING, self.keep_house)
+        self.schedule(self.now + EXPIRY_PERIOD, self.expire_state)
         for entry in self.entries.values():
             entry.limits.sharing.expire(self.now)
             entry.issuer.expire(self.now)
 
-    def use(self, since: float) -> float:
+    def utilisation(self, since: float) -> float:
         """Return the share of the limit that was used since some time."""
         sent = sum(at >= since for at in self.sent)
         return sent / (self.limit * (self.now - since))
--- a/packages/core/tests/pipelines/test_version_fleet.py
+++ b/packages/core/tests/pipelines/test_version_fleet.py
@@ -6,25 +6,30 @@
 
 from lacewingcourse.core.pipelines.freshness import PropagationBudget
 
-from .version_fleet import CALL_TIMEOUT, DELAY, LOOK, VersionFleet
+from .version_fleet import (
+    CALL_TIMEOUT,
+    MAX_MESSAGE_DELAY,
+    READ_CHECK_PERIOD,
+    VersionFleet,
+)
 
 #: Entries by availability zone, with the seconds in which versions must be in force.
-FEW = ({"a": 2, "b": 2, "c": 1}, 2.0)
-MANY = ({"a": 14, "b": 14, "c": 14, "d": 13, "e": 13}, 4.0)
+SMALL_FLEET = ({"a": 2, "b": 2, "c": 1}, 2.0)
+LARGE_FLEET = ({"a": 14, "b": 14, "c": 14, "d": 13, "e": 13}, 4.0)
 #: Versions of a storm: seconds between two of them, and for which they come.
-GAP = 0.3
-STORM = 9.0
+MAX_PUBLISH_GAP = 0.3
+BURST_TIME = 9.0
 #: Seconds of a storm before the trouble at the least, and from its start to the end.
-BEFORE = 1.0
-WATCHED = 7.0
+TIME_BEFORE_FAULTS = 1.0
+OBSERVED_TIME = 7.0
 
 
-def cut(fleet, entry):
+def disconnect(fleet, entry):
     """Let the source give an entry no answer."""
-    entry.is_cut = True
+    entry.is_disconnected = True
 
 
-def end(fleet, entry):
+def crash(fleet, entry):
     """End an entry at once."""
     entry.is_up = False
 
@@ -34,66 +39,66 @@
     entry.frozen_until = fleet.now + 4.0
 
 
-def slow(fleet, entry):
+def slow_down(fleet, entry):
     """Let an entry get to its work late."""
-    entry.lateness = 1.2
+    entry.max_scheduling_delay = 1.2
 
 
-def lossy(fleet, entry):
+def delay_messages(fleet, entry):
     """Let messages from and to an entry come late."""
-    entry.loss = 1.2
+    entry.max_extra_delay = 1.2
 
 
-TROUBLES = [cut, end, freeze, slow, lossy]
+FAULTS = [disconnect, crash, freeze, slow_down, delay_messages]
 
 
-def promised(bound: float) -> float:
+def lag_bound(bound: float) -> float:
     """Return the seconds after which an entry knows a version by its own reads."""
-    return PropagationBudget(bound).max_age + LOOK + 3 * DELAY
+    return PropagationBudget(bound).max_age + READ_CHECK_PERIOD + 3 * MAX_MESSAGE_DELAY
 
 
-def play(fleet: VersionFleet, *troubles) -> float:
+def worst_lag(fleet: VersionFleet, *faults) -> float:
     """Play a storm in which the first entries meet trouble; return the worst lag."""
     fleet.settle()
-    fleet.storm(GAP, STORM)
-    fleet.play(fleet.now + BEFORE + fleet.rng.random())
-    for entry, trouble in zip(fleet.in_order(), troubles, strict=False):
-        trouble(fleet, entry)
-    fleet.play(fleet.now + WATCHED)
-    return fleet.calm_lag()
+    fleet.publish_burst(MAX_PUBLISH_GAP, BURST_TIME)
+    fleet.run_until(fleet.now + TIME_BEFORE_FAULTS + fleet.rng.random())
+    for entry, fault in zip(fleet.in_read_order(), faults, strict=False):
+        fault(fleet, entry)
+    fleet.run_until(fleet.now + OBSERVED_TIME)
+    return fleet.healthy_lag()
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("second", [None, *TROUBLES])
-@pytest.mark.parametrize("first", TROUBLES)
-def test_few_entries_have_versions_in_time_beside_one_or_two_in_trouble(
+@pytest.mark.parametrize("second", [None, *FAULTS])
+@pytest.mark.parametrize("first", FAULTS)
+def test_healthy_entries_of_a_small_fleet_meet_the_bound_beside_faults(
     first, second, seed
 ):
-    zones, bound = FEW
-    troubles = [first] if second is None else [first, second]
-    assert play(VersionFleet(zones, bound, seed), *troubles) <= promised(bound)
+    zones, bound = SMALL_FLEET
+    faults = [first] if second is None else [first, second]
+    assert worst_lag(VersionFleet(zones, bound, seed), *faults) <= lag_bound(bound)
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_many_entries_have_versions_in_time_beside_two_in_trouble(trouble):
-    zones, bound = MANY
-    assert play(VersionFleet(zones, bound, 1), trouble, trouble) <= promised(bound)
+@pytest.mark.parametrize("fault", FAULTS)
+def test_healthy_entries_of_a_large_fleet_meet_the_bound_beside_faults(fault):
+    zones, bound = LARGE_FLEET
+    assert worst_lag(VersionFleet(zones, bound, 1), fault, fault) <= lag_bound(bound)
 
 
-def test_one_entry_reads_for_all_where_nothing_is_wrong():
-    zones, bound = FEW
+def test_one_entry_reads_for_all_without_faults():
+    zones, bound = SMALL_FLEET
     fleet = VersionFleet(zones, bound, 1)
     fleet.settle()
     before = fleet.reads
-    fleet.play(fleet.now + 10.0)
+    fleet.run_until(fleet.now + 10.0)
     at_once = 10.0 / PropagationBudget(bound).wait
     assert fleet.reads - before <= at_once + 1
 
 
 @pytest.mark.parametrize("bound", [2.0, 3.0, 4.0, 6.0])
-def test_the_last_entry_to_read_has_time_for_one_call(bound):
+def test_the_bound_leaves_time_for_one_read_at_the_maximum_age(bound):
     budget = PropagationBudget(bound)
-    assert budget.max_age + LOOK + CALL_TIMEOUT <= bound
+    assert budget.max_age + READ_CHECK_PERIOD + CALL_TIMEOUT <= bound
     assert budget.wait < budget.freshness().takeover_age < budget.max_age
 
 
@@ -102,7 +107,7 @@
 
     most = 6
 
-    def bring(self, entry):
+    def read_version(self, entry):
         entry.position = min(self.newest, entry.position + self.most)
         return entry.position
 
@@ -135,12 +140,12 @@
 @pytest.mark.parametrize(
     "mutant", [HistoryFleet, ArrivalFleet, ArrivalStampFleet, PatientFleet]
 )
-def test_the_play_tells_fleets_that_are_late(mutant):
-    zones, bound = FEW
-    troubles = [(one, other) for one in TROUBLES for other in TROUBLES]
+def test_the_simulation_detects_mutants_that_exceed_the_bound(mutant):
+    zones, bound = SMALL_FLEET
+    faults = [(one, other) for one in FAULTS for other in FAULTS]
     lags = [
-        play(mutant(zones, bound, seed), *pair)
-        for pair in troubles
+        worst_lag(mutant(zones, bound, seed), *pair)
+        for pair in faults
         for seed in range(4)
     ]
-    assert max(lags) > promised(bound)
+    assert max(lags) > lag_bound(bound)
--- a/packages/core/tests/pipelines/version_fleet.py
+++ b/packages/core/tests/pipelines/version_fleet.py
@@ -19,16 +19,16 @@
     from lacewingcourse.core.pipelines.freshness import Freshness
 
 #: Seconds that a message or a call takes at the most where nothing is wrong.
-DELAY = 0.005
+MAX_MESSAGE_DELAY = 0.005
 #: Seconds between two rounds of news, and between two looks whether to read.
-ROUND = 0.2
-LOOK = 0.05
+GOSSIP_PERIOD = 0.2
+READ_CHECK_PERIOD = 0.05
 #: Seconds in which a call of the source must be answered, besides what it may wait.
 CALL_TIMEOUT = 1.0
 #: Seconds in which another entry must answer.
 PEER_TIMEOUT = 0.6
 #: Seconds in which entries find one another before versions come.
-SETTLING = 4.0
+SETTLE_TIME = 4.0
 
 
 @attrs.frozen
@@ -77,24 +77,29 @@
 
     name: str
     zone: str
-    book: PeerTable
+    peer_table: PeerTable
     freshness: Freshness
     stamps: StampTable
     version: int = 0
     known: dict[int, float] = attrs.field(factory=dict)
-    is_cut: bool = False
+    is_disconnected: bool = False
     is_up: bool = True
     frozen_until: float = 0.0
-    lateness: float = 0.0
-    loss: float = 0.0
+    max_scheduling_delay: float = 0.0
+    max_extra_delay: float = 0.0
     reachable: bool = True
     position: int = 0
 
     @property
-    def is_calm(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether nothing is wrong with it."""
-        harmed = self.is_cut or self.frozen_until or self.lateness or self.loss
-        return self.is_up and not harmed
+        impaired = (
+            self.is_disconnected
+            or self.frozen_until
+            or self.max_scheduling_delay
+            or self.max_extra_delay
+        )
+        return self.is_up and not impaired
 
 
 class VersionFleet:
@@ -109,7 +114,7 @@
     """
 
     def __init__(
-        self, zones: dict[str, int], bound: float, seed: int, standing: int = 1
+        self, zones: dict[str, int], bound: float, seed: int, standing_readers: int = 1
     ) -> None:
         """Make entries that know one another.
 
@@ -119,7 +124,7 @@
             seed: Source of all draws.
             standing: Entries that read however new their knowledge is.
         """
-        self.standing = standing
+        self.standing_readers = standing_readers
         self.rng = Random(seed)
         self.now = 0.0
         self.budget = PropagationBudget(bound)
@@ -133,56 +138,65 @@
                 self.add(f"{zone}-{index:02}", zone)
         for entry in self.entries.values():
             for other in self.entries.values():
-                entry.book.record_message(
+                entry.peer_table.record_message(
                     other.name, other.name, False, 0.0, other.zone
                 )
-            self.at(self.rng.uniform(0, ROUND), lambda e=entry: self.speak(e))
-            self.at(self.rng.uniform(0, LOOK), lambda e=entry: self.look(e))
+            self.schedule(
+                self.rng.uniform(0, GOSSIP_PERIOD), lambda e=entry: self.gossip(e)
+            )
+            self.schedule(
+                self.rng.uniform(0, READ_CHECK_PERIOD),
+                lambda e=entry: self.check_read(e),
+            )
 
     def add(self, name: str, zone: str) -> None:
         """Add an entry."""
-        book, freshness = PeerTable(name, zone), self.budget.freshness()
-        self.entries[name] = VersionEntry(name, zone, book, freshness, StampTable(0.0))
+        peer_table, freshness = PeerTable(name, zone), self.budget.freshness()
+        self.entries[name] = VersionEntry(
+            name, zone, peer_table, freshness, StampTable(0.0)
+        )
 
-    def at(self, time: float, call: Callable[[], None]) -> None:
+    def schedule(self, time: float, call: Callable[[], None]) -> None:
         """Let something happen at some time."""
         heapq.heappush(self.events, (time, next(self.order), call))
 
-    def play(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         """Play until some time."""
         while self.events[0][0] <= until:
             self.now, _, call = heapq.heappop(self.events)
             call()
         self.now = until
 
-    def work(self, entry: VersionEntry, time: float, call: Callable[[], None]) -> None:
+    def run_on(
+        self, entry: VersionEntry, time: float, call: Callable[[], None]
+    ) -> None:
         """Let an entry do something at some time, or as soon as it gets to it."""
-        late = self.rng.uniform(0, entry.lateness)
+        late = self.rng.uniform(0, entry.max_scheduling_delay)
 
         def begin() -> None:
             if not entry.is_up:
                 return
             if self.now < entry.frozen_until:
-                self.at(entry.frozen_until, call)
+                self.schedule(entry.frozen_until, call)
             else:
                 call()
 
-        self.at(time + late, begin)
+        self.schedule(time + late, begin)
 
     def delay(self, *entries: VersionEntry) -> float:
         """Return the seconds that a message from or to some entries takes."""
-        lost = sum(self.rng.uniform(0, entry.loss) for entry in entries)
-        return self.rng.uniform(0.0005, DELAY) + lost
+        lost = sum(self.rng.uniform(0, entry.max_extra_delay) for entry in entries)
+        return self.rng.uniform(0.0005, MAX_MESSAGE_DELAY) + lost
 
     def settle(self) -> None:
         """Let entries find one another."""
-        self.play(SETTLING)
+        self.run_until(SETTLE_TIME)
 
-    def in_order(self) -> list[VersionEntry]:
+    def in_read_order(self) -> list[VersionEntry]:
         """Return the entries in the order in which they read."""
 
         def rank(entry: VersionEntry) -> int:
-            return entry.book.reader_rank(self.now, entry.reachable)
+            return entry.peer_table.reader_rank(self.now, entry.reachable)
 
         return sorted(self.entries.values(), key=rank)
 
@@ -190,7 +204,7 @@
         """Let the operator publish a version, which is acknowledged at once."""
         self.acknowledged[len(self.acknowledged)] = self.now
 
-    def storm(self, gap: float, seconds: float) -> None:
+    def publish_burst(self, gap: float, seconds: float) -> None:
         """Publish a version each few seconds for some time.
 
         Args:
@@ -199,7 +213,7 @@
         """
         at, end = self.now, self.now + seconds
         while at < end:
-            self.at(at, self.publish)
+            self.schedule(at, self.publish)
             at += self.rng.uniform(0.3, 1.0) * gap
 
     @property
@@ -207,48 +221,50 @@
         """The newest version."""
         return len(self.acknowledged) - 1
 
-    def look(self, entry: VersionEntry) -> None:
+    def check_read(self, entry: VersionEntry) -> None:
         """Let an entry read if it is its turn, and look again later."""
-        rank = entry.book.reader_rank(self.now, entry.reachable)
-        if entry.freshness.due(max(0, rank + 1 - self.standing), self.now):
+        rank = entry.peer_table.reader_rank(self.now, entry.reachable)
+        if entry.freshness.due(max(0, rank + 1 - self.standing_readers), self.now):
             self.read(entry)
         else:
-            self.work(entry, self.now + LOOK, lambda: self.look(entry))
+            self.run_on(
+                entry, self.now + READ_CHECK_PERIOD, lambda: self.check_read(entry)
+            )
 
     def read(self, entry: VersionEntry) -> None:
         """Let an entry read, waiting for a version that it does not know."""
         self.reads += 1
         sent_at = self.now
         until = sent_at + self.budget.wait
-        if entry.is_cut:
+        if entry.is_disconnected:
             failed_at = until + CALL_TIMEOUT
-            self.work(entry, failed_at, lambda: self.fail(entry))
+            self.run_on(entry, failed_at, lambda: self.on_failed_read(entry))
             return
         there = self.now + self.delay(entry)
-        self.at(there, lambda: self.answer(entry, sent_at, until))
+        self.schedule(there, lambda: self.answer(entry, sent_at, until))
 
     def answer(self, entry: VersionEntry, sent_at: float, until: float) -> None:
         """Let the source answer if there is a version, or if it has waited enough."""
         if self.newest == entry.version and self.now < until:
-            again = min(until, self.now + DELAY)
-            self.at(again, lambda: self.answer(entry, sent_at, until))
+            again = min(until, self.now + MAX_MESSAGE_DELAY)
+            self.schedule(again, lambda: self.answer(entry, sent_at, until))
             return
         waited = until - sent_at if self.newest == entry.version else 0.0
-        version = self.bring(entry)
+        version = self.read_version(entry)
         back = self.now + self.delay(entry)
 
         def take() -> None:
             if back > until + CALL_TIMEOUT:
-                self.fail(entry)
+                self.on_failed_read(entry)
                 return
             entry.reachable = True
             entry.freshness.succeeded(self.now, self.known_at(sent_at, waited))
-            self.take(entry, version)
-            self.look(entry)
+            self.apply_version(entry, version)
+            self.check_read(entry)
 
-        self.work(entry, back, take)
+        self.run_on(entry, back, take)
 
-    def bring(self, entry: VersionEntry) -> int:
+    def read_version(self, entry: VersionEntry) -> int:
         """Return the version that the source gives an entry."""
         return self.newest
 
@@ -265,41 +281,43 @@
         """Return when an entry takes news to have been composed."""
         return entry.stamps.composed_at(news.echo, self.now)
 
-    def fail(self, entry: VersionEntry) -> None:
+    def on_failed_read(self, entry: VersionEntry) -> None:
         """Let an entry note that a read was not answered."""
         entry.reachable = False
         entry.freshness.failed(self.now, self.rng.random())
-        self.look(entry)
+        self.check_read(entry)
 
-    def take(self, entry: VersionEntry, version: int) -> None:
+    def apply_version(self, entry: VersionEntry, version: int) -> None:
         """Put a version in force unless a newer one is, and tell it at once."""
         if version > entry.version:
             entry.version = version
             entry.known[version] = self.now
-            self.tell_all(entry, urgent=True)
+            self.send_news(entry, urgent=True)
 
-    def speak(self, entry: VersionEntry) -> None:
+    def gossip(self, entry: VersionEntry) -> None:
         """Let an entry speak with others, and again in the next round."""
-        self.tell_all(entry, urgent=False)
-        self.work(entry, self.now + ROUND, lambda: self.speak(entry))
+        self.send_news(entry, urgent=False)
+        self.run_on(entry, self.now + GOSSIP_PERIOD, lambda: self.gossip(entry))
 
-    def tell_all(self, entry: VersionEntry, urgent: bool) -> None:
+    def send_news(self, entry: VersionEntry, urgent: bool) -> None:
         """Let an entry speak with those whose turn it is."""
-        for peer in entry.book.gossip_targets(self.now, urgent):
+        for peer in entry.peer_table.gossip_targets(self.now, urgent):
             other = self.entries[peer.name]
             news = self.news(entry, other)
             arrives = self.now + self.delay(entry, other)
-            self.work(other, arrives, lambda o=other, n=news: self.receive(o, n, True))
+            self.run_on(
+                other, arrives, lambda o=other, n=news: self.receive(o, n, True)
+            )
 
     def news(self, entry: VersionEntry, receiver: VersionEntry) -> News:
         """Return what an entry tells another one now."""
-        told = entry.book.peers_to_report(receiver.zone, self.now)
+        reported = entry.peer_table.peers_to_report(receiver.zone, self.now)
         return News(
             entry.name,
             entry.version,
             entry.freshness.age(self.now),
             entry.reachable,
-            {peer.name: self.now - peer.heard_at for peer in told},
+            {peer.name: self.now - peer.heard_at for peer in reported},
             self.now,
             entry.stamps.echo(receiver.name, self.now),
         )
@@ -307,12 +325,12 @@
     def receive(self, entry: VersionEntry, news: News, asked: bool) -> None:
         """Let an entry take news, and answer them if it was asked."""
         sender = self.entries[news.sender]
-        book = entry.book
-        book.record_message(
+        peer_table = entry.peer_table
+        peer_table.record_message(
             sender.name, sender.name, False, self.now, sender.zone, reads=news.reads
         )
         for name, age in news.peers.items():
-            book.record_report(name, name, self.entries[name].zone, age, self.now)
+            peer_table.record_report(name, name, self.entries[name].zone, age, self.now)
         entry.stamps.receive(news.sender, news.stamp, self.now)
         if news.version == entry.version:
             composed_at = self.composed_at(entry, news)
@@ -323,7 +341,7 @@
         if asked:
             answer = self.news(entry, sender)
             arrives = self.now + self.delay(entry, sender)
-            self.work(sender, arrives, lambda: self.receive(sender, answer, False))
+            self.run_on(sender, arrives, lambda: self.receive(sender, answer, False))
 
     def fetch(self, entry: VersionEntry, sender: VersionEntry) -> None:
         """Let an entry fetch the version of another one."""
@@ -334,11 +352,11 @@
             version = sender.version
             back = self.now + self.delay(entry, sender)
             if back < sent_at + PEER_TIMEOUT:
-                self.work(entry, back, lambda: self.take(entry, version))
+                self.run_on(entry, back, lambda: self.apply_version(entry, version))
 
-        self.work(sender, there, answer)
+        self.run_on(sender, there, answer)
 
-    def lag(self, entry: VersionEntry) -> float:
+    def max_lag(self, entry: VersionEntry) -> float:
         """Return the seconds that a version needed at the most to come into force."""
         worst, pending = 0.0, 0
         for version in sorted(entry.known):
@@ -349,7 +367,7 @@
             worst = max(worst, self.now - self.acknowledged[missed])
         return worst
 
-    def calm_lag(self) -> float:
+    def healthy_lag(self) -> float:
         """Return the worst lag of the entries with which nothing is wrong."""
-        calm = [entry for entry in self.entries.values() if entry.is_calm]
-        return max(self.lag(entry) for entry in calm)
+        healthy = [entry for entry in self.entries.values() if entry.is_healthy]
+        return max(self.max_lag(entry) for entry in healthy)
