--- a/packages/core/tests/pipelines/test_crashes.py
+++ b/packages/core/tests/pipelines/test_crashes.py
@@ -9,7 +9,7 @@
 )
 
 
-def test_a_request_is_refused_after_three_endpoints_were_lost_under_it():
+def test_a_request_is_refused_once_three_endpoints_were_lost_running_it():
     history = CrashHistory()
     assert not history.record_loss("r", "a", now=0.0)
     assert not history.record_loss("r", "b", now=1.0)
@@ -23,7 +23,7 @@
         assert not history.record_loss("r", "a", now=float(at))
 
 
-def test_losses_that_peers_saw_count():
+def test_losses_reported_by_peers_count():
     history = CrashHistory()
     history.record_loss("r", "a", now=0.0)
     history.from_peer({"r": {"b": 0.0, "c": 0.0}}, now=1.0)
@@ -31,7 +31,7 @@
     assert set(history.losses(now=1.0)["r"]) == {"a"}
 
 
-def test_a_request_that_ran_to_its_end_is_cleared():
+def test_a_completed_request_is_forgotten():
     history = CrashHistory()
     for name in "ab":
         history.record_loss("r", name, now=0.0)
@@ -39,7 +39,7 @@
     assert not history.record_loss("r", "c", now=1.0)
 
 
-def test_losses_count_for_a_while_only():
+def test_losses_expire():
     history = CrashHistory()
     for name in "abc":
         history.record_loss("r", name, now=0.0)
@@ -48,6 +48,6 @@
     assert history.losses(now=CRASH_RETENTION) == {}
 
 
-def test_fingerprints_tell_fields_apart():
+def test_fingerprints_depend_on_field_boundaries():
     assert fingerprint_of(b"ab", b"c") != fingerprint_of(b"a", b"bc")
     assert fingerprint_of(b"ab", b"c") == fingerprint_of(b"ab", b"c")
--- a/packages/core/tests/pipelines/test_events.py
+++ b/packages/core/tests/pipelines/test_events.py
@@ -12,19 +12,19 @@
     return b"id: %d\ndata: rooms" % number + end
 
 
-def test_half_an_event_is_held_back():
+def test_an_incomplete_event_is_held_back():
     splitter = EventSplitter()
     assert splitter.feed(event(1) + b"id: 2\nda") == event(1)
     assert splitter.feed(b"ta: rooms\n\n") == event(2)
     assert splitter.last_id == "2"
 
 
-def test_events_before_the_place_of_resumption_are_dropped():
+def test_events_up_to_the_resume_position_are_dropped():
     splitter = EventSplitter(last_id="4")
     assert splitter.feed(event(3) + event(4) + event(5)) == event(5)
 
 
-def test_an_event_that_was_cut_is_not_joined_with_the_next_run():
+def test_an_incomplete_event_is_not_joined_with_the_next_run():
     splitter = EventSplitter()
     splitter.feed(event(1) + b"id: 2\ndata: ro")
     splitter.discard_pending()
@@ -42,20 +42,20 @@
     assert splitter.feed(text) == text
 
 
-def test_an_event_without_identifier_is_passed_on():
+def test_an_event_without_identifier_is_forwarded():
     assert EventSplitter().feed(b"data: x\n\n") == b"data: x\n\n"
     assert event_id(b"data: x\n\n") is None
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.lists(st.integers(1, 40), min_size=1), st.integers(1, 12))
-def test_any_cut_of_the_bytes_gives_each_event_once(cuts, last):
+def test_any_split_of_the_bytes_yields_each_event_once(sizes, last):
     whole = b"".join(event(n) for n in range(1, last + 1))
     splitter = EventSplitter()
     out, at = b"", 0
-    for cut in cuts:
-        out += splitter.feed(whole[at : at + cut])
-        at += cut
+    for size in sizes:
+        out += splitter.feed(whole[at : at + size])
+        at += size
     out += splitter.feed(whole[at:])
     assert out == whole
     assert splitter.forwarded == last
--- a/packages/core/tests/pipelines/test_freshness.py
+++ b/packages/core/tests/pipelines/test_freshness.py
@@ -24,10 +24,10 @@
 ENTRIES = 31
 
 
-def ask_through_outage(delay) -> tuple[int, list[float]]:
+def simulate_outage(delay) -> tuple[int, list[float]]:
     """Return the calls during an outage, and when each entry asks after it."""
     rng = Random(1)
-    calls, back = 0, []
+    calls, first_reads = 0, []
     for _ in range(ENTRIES):
         freshness = Freshness(0.9, 0.1, retry_delay=delay)
         now = 0.0
@@ -35,30 +35,30 @@
             calls += 1
             freshness.failed(now, rng.random())
             now = freshness.next_try
-        back.append(now - OUTAGE)
-    return calls, back
+        first_reads.append(now - OUTAGE)
+    return calls, first_reads
 
 
-def test_a_store_that_is_away_is_asked_less_and_less():
-    calls, _ = ask_through_outage(backoff_delay)
-    plain, _ = ask_through_outage(fixed_delay)
-    assert calls <= plain / 2
+def test_backoff_halves_the_reads_during_an_outage():
+    calls, _ = simulate_outage(backoff_delay)
+    fixed, _ = simulate_outage(fixed_delay)
+    assert calls <= fixed / 2
 
 
-def test_a_store_that_is_back_is_noticed_at_once_by_some_and_soon_by_all():
+def test_all_entries_read_soon_after_an_outage():
     """All have its news two seconds after its return; what one reads takes half."""
-    _, back = ask_through_outage(backoff_delay)
-    assert min(back) <= MIN_RETRY_DELAY
-    assert max(back) <= MAX_RETRY_DELAY
+    _, first_reads = simulate_outage(backoff_delay)
+    assert min(first_reads) <= MIN_RETRY_DELAY
+    assert max(first_reads) <= MAX_RETRY_DELAY
 
 
-def test_entries_that_failed_together_do_not_ask_together():
-    _, back = ask_through_outage(backoff_delay)
-    assert len({round(at, 2) for at in back}) > ENTRIES / 2
+def test_jitter_spreads_the_reads_of_entries():
+    _, first_reads = simulate_outage(backoff_delay)
+    assert len({round(at, 2) for at in first_reads}) > ENTRIES / 2
 
 
 @pytest.mark.parametrize("failures", [0, 1, 5])
-def test_a_read_ends_the_delays(failures):
+def test_a_successful_read_resets_the_delay(failures):
     freshness = Freshness(0.9, 0.1)
     for _ in range(failures):
         freshness.failed(10.0, 0.0)
--- a/packages/core/tests/pipelines/test_incarnation.py
+++ b/packages/core/tests/pipelines/test_incarnation.py
@@ -26,7 +26,7 @@
     return fleet
 
 
-def test_an_endpoint_that_does_not_tell_its_start_goes_by_its_name():
+def test_an_endpoint_without_a_start_time_is_identified_by_its_name():
     assert Incarnation("a").id == "a"
     assert Incarnation("a", 5).id == "a@5"
 
@@ -39,14 +39,14 @@
     assert Incarnation("a").is_outdated(known)
 
 
-def test_what_is_believed_of_an_incarnation_ends_with_it(fleet):
+def test_state_of_an_incarnation_is_dropped_with_it(fleet):
     assert fleet.put(entry(200, 1)) is EntryEffect.RESTARTED
     assert list(fleet.endpoints) == ["a@200"]
     assert fleet.named("a").layers is None
     assert fleet.of_service("rooms") == [entry(200)]
 
 
-def test_entries_of_an_earlier_start_are_old_news(fleet):
+def test_directory_entries_of_an_earlier_start_are_outdated(fleet):
     fleet.put(entry(200, 1))
     revision = fleet.revision
     assert fleet.put(holding(entry(100, 9), 0, 20)) is EntryEffect.OUTDATED
@@ -55,25 +55,25 @@
     assert fleet.revision == revision
 
 
-def test_an_entry_written_before_the_last_one_is_old_news(fleet):
+def test_a_directory_entry_with_a_lower_sequence_is_outdated(fleet):
     fleet.put(entry(100, 8, leaving=True))
     assert fleet.put(holding(entry(100, 7), 0, 20)) is EntryEffect.OUTDATED
     assert fleet.of_service("rooms") == []
 
 
-def test_counts_are_not_compared_where_starts_are_untold():
+def test_sequences_are_not_compared_without_start_times():
     fleet = Fleet()
     fleet.put(holding(entry(0, 9), 0, 20))
     assert fleet.put(entry(0, 1)) is EntryEffect.CHANGED
     assert fleet.named("a").layers is None
 
 
-def test_an_entry_that_only_counts_on_changes_nothing(fleet):
+def test_a_directory_entry_with_only_a_higher_sequence_changes_nothing(fleet):
     assert fleet.put(holding(entry(100, 8), 0, 20)) is EntryEffect.NOTHING
     assert fleet.named("a").sequence == 8
 
 
-def test_a_late_entry_does_not_bring_back_an_endpoint_that_is_gone(fleet):
+def test_a_late_directory_entry_does_not_restore_a_removed_endpoint(fleet):
     fleet.put(entry(100, 8, leaving=True))
     assert fleet.remove("a", now=50.0)
     assert fleet.put(holding(entry(100, 7), 0, 20)) is EntryEffect.OUTDATED
@@ -81,7 +81,7 @@
     assert fleet.put(entry(100, 9)) is EntryEffect.CHANGED
 
 
-def test_an_endpoint_that_says_when_it_started_holds_nothing_of_before(fleet):
+def test_a_reported_start_drops_the_state_of_the_earlier_incarnation(fleet):
     assert not fleet.note_start("a", 100)
     assert not fleet.note_start("a", 0)
     assert not fleet.note_start("b", 300)
@@ -90,7 +90,7 @@
     assert fleet.put(holding(entry(100, 9), 0, 20)) is EntryEffect.OUTDATED
 
 
-def test_an_entry_of_a_service_that_is_not_configured_takes_no_address():
+def test_only_a_configured_service_displaces_the_holder_of_an_address():
     fleet = Fleet()
     fleet.put(entry(100))
     stranger = entry(100, name="b", service="unknown")
@@ -100,7 +100,7 @@
     assert set(fleet.endpoints) == {"c@100"}
 
 
-def test_a_whole_listing_goes_by_names(fleet):
+def test_a_complete_listing_is_matched_by_names(fleet):
     fleet.keep_only({"a"}, now=50.0)
     assert list(fleet.endpoints) == ["a@100"]
     fleet.keep_only(set(), now=50.0)
--- a/packages/core/tests/pipelines/test_request_limits.py
+++ b/packages/core/tests/pipelines/test_request_limits.py
@@ -18,33 +18,34 @@
     assert limits.limited() == []
 
 
-def test_an_answer_that_was_overtaken_ends_no_limit():
+def test_an_answer_to_an_earlier_request_withdraws_no_limit():
     limits = LimitTable()
     limits.observe("a", 2.5, sent_at=1.0, now=1.1)
     assert not limits.observe("a", NO_LIMIT, sent_at=1.05, now=1.2)
     assert limits.named("a") == 2.5
 
 
-def test_an_endpoint_that_never_named_a_limit_is_not_kept():
+def test_an_endpoint_that_never_advertised_a_limit_is_not_recorded():
     limits = LimitTable()
     assert not limits.observe("a", NO_LIMIT, sent_at=1.0, now=1.1)
     assert limits.members == {}
 
 
 @pytest.mark.parametrize(
-    ("limits", "falls"), [((2.0,), 1), ((2.0, 1.9, 2.1, 1.9, 2.0), 1), ((2.0, 1.0), 2)]
+    ("limits", "decreases"),
+    [((2.0,), 1), ((2.0, 1.9, 2.1, 1.9, 2.0), 1), ((2.0, 1.0), 2)],
 )
-def test_a_limit_that_changes_little_with_each_answer_is_no_fall(limits, falls):
+def test_small_changes_of_a_limit_are_no_decrease(limits, decreases):
     """All entries are told of a fall at once, so each of them costs a round."""
     table = LimitTable()
     seen = []
     table.on_decrease = seen.append
     for limit in limits:
         table.observe("a", limit, 1.0, 1.1)
-    assert len(seen) == falls
+    assert len(seen) == decreases
 
 
-def test_the_newest_word_of_several_entries_counts():
+def test_the_newest_report_of_a_limit_counts():
     table = LimitTable()
     assert table.from_peer("a", 2.0, age=1.0, now=5.0)
     assert not table.from_peer("a", NO_LIMIT, age=2.0, now=5.0)
@@ -53,7 +54,7 @@
     assert table.named("a") == NO_LIMIT
 
 
-def test_an_old_word_does_not_bring_a_limit_back():
+def test_an_old_report_does_not_restore_a_limit():
     table = LimitTable()
     table.observe("a", 2.0, sent_at=1.0, now=1.1)
     table.observe("a", NO_LIMIT, sent_at=1.2, now=1.3)
--- a/packages/core/tests/pipelines/test_retry_budget.py
+++ b/packages/core/tests/pipelines/test_retry_budget.py
@@ -37,13 +37,13 @@
     assert not budget.take("s", now=11.0)
 
 
-def test_services_have_budgets_of_their_own():
+def test_each_service_has_its_own_budget():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=1.0 / SAFETY_SHARE)
     assert budget.take("a", now=0.0)
     assert budget.take("b", now=0.0)
 
 
-def test_what_was_lent_counts_until_after_it_may_be_used():
+def test_a_lent_retry_counts_from_the_end_of_the_loan():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=4.0 / SAFETY_SHARE)
     assert budget.lend("s", 4, now=0.0) == 2
     assert sum(budget.take("s", now=0.0) for _ in range(4)) == 2
@@ -51,26 +51,26 @@
     assert sum(budget.take("s", now=11.5) for _ in range(4)) == 2
 
 
-def test_a_loan_may_be_used_for_a_while_from_when_it_was_asked_for():
+def test_a_loan_expires_after_its_lifetime():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=0.0)
     budget.borrow("s", 2, requested_at=0.0)
     assert budget.take("s", now=LOAN_LIFETIME - 0.1)
     assert not budget.allows("s", now=LOAN_LIFETIME)
 
 
-def test_a_loan_that_comes_late_is_not_used():
+def test_a_loan_that_arrives_late_has_expired():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=0.0)
     budget.borrow("s", 2, requested_at=0.0)
     assert not budget.take("s", now=5.0)
 
 
-def test_nothing_borrowed_is_lent_on():
+def test_borrowed_retries_are_not_lent():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=0.0)
     budget.borrow("s", 5, requested_at=0.0)
     assert budget.lend("s", 5, now=0.1) == 0
 
 
-def test_the_last_retries_are_kept_for_answers_that_are_read():
+def test_the_last_retries_are_reserved_for_begun_answers():
     """A request without an answer yet can be refused, and its caller come back."""
     budget = RetryBudget(ratio=0.0, window=10.0, slack=8.0 / SAFETY_SHARE)
     while budget.allows("s", now=0.0, reserved=False):
@@ -78,7 +78,7 @@
     assert sum(budget.take("s", now=0.0) for _ in range(8)) == 8 * RESERVED_SHARE
 
 
-def test_a_held_retry_is_left_to_no_other_request_until_it_is_given_back():
+def test_a_held_retry_is_unavailable_until_it_is_released():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=2.0 / SAFETY_SHARE)
     assert budget.hold("s", "a", now=0.0)
     assert budget.hold("s", "a", now=0.0)
@@ -98,7 +98,7 @@
     assert budget.allows("s", now=15.0)
 
 
-def test_a_hold_gives_no_right_to_more_than_is_left_at_the_send():
+def test_a_hold_does_not_guarantee_a_retry_at_the_send():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=2.0 / SAFETY_SHARE)
     assert budget.hold("s", "a", now=0.0)
     assert budget.hold("s", "b", now=0.0)
@@ -106,7 +106,7 @@
     assert sum(budget.take("s", now=0.1, request=name) for name in "ab") == 1
 
 
-def test_a_request_that_may_be_refused_keeps_what_it_holds():
+def test_a_request_without_access_to_the_reserve_keeps_its_hold():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=4.0 / SAFETY_SHARE)
     assert budget.hold("s", "a", now=0.0, reserved=False)
     assert all(budget.hold("s", name, now=0.0) for name in "bcd")
@@ -114,7 +114,7 @@
     assert budget.take("s", now=0.0, request="a")
 
 
-def test_a_loan_that_was_held_may_be_used_until_its_own_end():
+def test_a_hold_does_not_extend_a_loan():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=0.0)
     budget.borrow("s", 1, requested_at=0.0)
     assert budget.hold("s", "a", now=0.1)
@@ -124,7 +124,7 @@
     assert not budget.take("s", now=LOAN_LIFETIME, request="b")
 
 
-def test_retries_that_are_held_on_loans_are_not_taken_off_what_is_lent():
+def test_retries_held_on_loans_do_not_reduce_what_is_lent():
     budget = RetryBudget(ratio=0.0, window=10.0, slack=2.0 / SAFETY_SHARE)
     budget.borrow("s", 1, requested_at=0.0)
     assert budget.hold("s", "a", now=0.1)
@@ -135,7 +135,7 @@
 RATIO, WINDOW, SLACK = 0.2, 10.0, 100.0
 
 
-def most_beyond(requests: list[float], retries: list[float]) -> float:
+def max_excess(requests: list[float], retries: list[float]) -> float:
     """Return the most retries in a window beyond what its requests allow."""
     return max(
         sum(at - WINDOW < time <= at for time in retries)
@@ -166,7 +166,7 @@
                 requests.append(now)
             while budget.take("s", now):
                 retries.append(now)
-    assert most_beyond(requests, retries) <= SLACK
+    assert max_excess(requests, retries) <= SLACK
     assert any(time > 30.0 for time in retries)
 
 
@@ -185,11 +185,11 @@
                 budget.entries = 8
             while budget.take("s", now):
                 retries.append(now)
-    assert most_beyond([], retries) <= SLACK
+    assert max_excess([], retries) <= SLACK
 
 
 @pytest.mark.parametrize("known_at_start", [1, 5])
-def test_an_entry_that_has_not_counted_the_others_has_what_its_requests_allow(
+def test_an_entry_has_no_slack_during_peer_discovery(
     known_at_start,
 ):
     budget = RetryBudget(RATIO, WINDOW, SLACK, known_at_start, started_at=50.0)
@@ -199,13 +199,13 @@
     assert budget.lend("s", 5, now=52.9) == 0
 
 
-def test_an_entry_that_restarts_uses_what_others_lend():
+def test_a_restarted_entry_uses_loans():
     budget = RetryBudget(RATIO, WINDOW, SLACK, entries=5, started_at=50.0)
     budget.borrow("s", 2, requested_at=51.0)
     assert sum(budget.take("s", now=51.1) for _ in range(5)) == 2
 
 
-def test_processes_that_restart_again_and_again_have_a_part_of_the_share_together():
+def test_repeated_restarts_use_a_part_of_the_share_in_total():
     taken = 0
     for start in range(50, 60, 4):
         budget = RetryBudget(RATIO, WINDOW, SLACK, entries=1, started_at=float(start))
@@ -213,7 +213,7 @@
     assert 0 < taken <= (1.0 - SAFETY_SHARE) * SLACK
 
 
-def test_a_share_is_back_once_no_window_holds_what_was_used_before():
+def test_the_full_share_is_available_after_one_window():
     budget = RetryBudget(RATIO, WINDOW, SLACK, entries=5, started_at=50.0)
     back_at = 50.0 + WINDOW + PEER_DISCOVERY_TIME
     taken = sum(budget.take("s", now=back_at - 0.1) for _ in range(50))
@@ -222,7 +222,7 @@
     assert taken == int(SAFETY_SHARE * SLACK / 5)
 
 
-def test_the_first_process_waits_only_until_the_entries_are_counted():
+def test_the_first_process_has_its_share_after_peer_discovery():
     budget = RetryBudget(
         RATIO, WINDOW, SLACK, entries=1, started_at=50.0, has_predecessor=False
     )
@@ -230,7 +230,7 @@
     assert budget.allows("s", now=50.0 + PEER_DISCOVERY_TIME)
 
 
-def test_entries_that_are_known_but_not_alive_have_their_shares():
+def test_known_entries_that_are_not_alive_count_in_the_shares():
     budget = RetryBudget(RATIO, WINDOW, SLACK, entries=5)
     budget.known_entries = 10
     assert sum(budget.take("s", now=1.0) for _ in range(50)) == 7
--- a/packages/core/tests/pipelines/test_stalls.py
+++ b/packages/core/tests/pipelines/test_stalls.py
@@ -26,53 +26,53 @@
     return Path(tuple(parts), 5.0)
 
 
-def begun(watch: StallWatch, path: Path, now: float):
+def begin_with_event(watch: StallWatch, path: Path, now: float):
     """Return a watched stream whose first event has arrived."""
     watched = watch.begin(path, now, GAP, OBJECTIVE)
     watched.progress(now)
     return watched
 
 
-def test_a_stream_that_was_just_heard_is_left_alone():
+def test_a_stream_with_a_recent_event_is_not_suspected():
     watch = StallWatch()
-    begun(watch, path_of("a", "b"), 0.0)
+    begin_with_event(watch, path_of("a", "b"), 0.0)
     assert watch.silent(0.05) == []
 
 
-def test_a_stream_is_looked_at_when_nothing_passes_an_endpoint():
+def test_a_stream_is_suspected_when_an_endpoint_is_silent():
     watch = StallWatch()
-    watched = begun(watch, path_of("a", "b"), 0.0)
+    watched = begin_with_event(watch, path_of("a", "b"), 0.0)
     (silence,) = watch.silent(MAX_SILENCE_SHARE * GAP + 0.01)
     assert silence.watched is watched
     assert silence.silent_parts == watched.path.parts
 
 
-def test_only_the_endpoints_that_nothing_passed_are_in_question():
+def test_only_silent_endpoints_are_suspected():
     watch = StallWatch()
-    watched = begun(watch, path_of("a", "b"), 0.0)
-    begun(watch, path_of("a", "c"), 0.0).progress(0.19)
+    watched = begin_with_event(watch, path_of("a", "b"), 0.0)
+    begin_with_event(watch, path_of("a", "c"), 0.0).progress(0.19)
     (silence,) = watch.silent(0.2)
     assert silence.watched is watched
     assert [part.endpoint for part in silence.silent_parts] == ["b"]
 
 
-def test_a_stream_is_left_alone_while_others_pass_all_its_endpoints():
+def test_a_stream_is_not_suspected_while_others_use_all_its_endpoints():
     watch = StallWatch()
-    begun(watch, path_of("a", "b"), 0.0)
-    other = begun(watch, path_of("a", "b", "c"), 0.0)
+    begin_with_event(watch, path_of("a", "b"), 0.0)
+    other = begin_with_event(watch, path_of("a", "b", "c"), 0.0)
     other.progress(0.19)
     assert watch.silent(0.2) == []
 
 
-def test_a_slow_stream_has_more_patience():
+def test_a_slow_stream_has_a_longer_timeout():
     watch = StallWatch()
-    watched = begun(watch, path_of("a"), 0.0)
+    watched = begin_with_event(watch, path_of("a"), 0.0)
     for at in range(1, 30):
         watched.progress(at * 0.045)
     assert MIN_SILENCE_SHARE * GAP < watched.silence_timeout <= MAX_SILENCE_SHARE * GAP
 
 
-def test_a_stream_without_an_event_is_looked_at_later():
+def test_a_stream_without_an_event_has_its_own_timeout():
     watch = StallWatch()
     watched = watch.begin(path_of("a"), 0.0, GAP, OBJECTIVE)
     assert watch.silent(FIRST_EVENT_SHARE * OBJECTIVE - 0.01) == []
@@ -80,25 +80,25 @@
     assert silence.watched is watched
 
 
-def test_an_ended_stream_is_forgotten():
+def test_an_ended_stream_is_not_watched():
     watch = StallWatch()
-    watch.end(begun(watch, path_of("a"), 0.0))
+    watch.end(begin_with_event(watch, path_of("a"), 0.0))
     assert watch.silent(10.0) == []
 
 
-def flowing(watch: StallWatch, path: Path, until: float):
+def stream_with_events(watch: StallWatch, path: Path, until: float):
     """Return a stream that gets an event every 20 milliseconds until a time."""
-    watched = begun(watch, path, 0.0)
+    watched = begin_with_event(watch, path, 0.0)
     for step in range(1, round(until / 0.02) + 1):
         watched.progress(step * 0.02)
     return watched
 
 
-def test_streams_that_fell_silent_together_look_cut_off():
+def test_streams_that_fall_silent_together_are_cut_off():
     watch = StallWatch()
-    first = flowing(watch, path_of("a", "x"), 1.0)
-    second = flowing(watch, path_of("b", "x"), 1.0)
-    flowing(watch, path_of("b", "c"), 1.2)
+    first = stream_with_events(watch, path_of("a", "x"), 1.0)
+    second = stream_with_events(watch, path_of("b", "x"), 1.0)
+    stream_with_events(watch, path_of("b", "c"), 1.2)
     found = {
         silence.watched: {part.endpoint for part in silence.silent_parts}
         for silence in watch.cut_off(1.2)
@@ -106,24 +106,24 @@
     assert found == {first: {"a", "x"}, second: {"x"}}
 
 
-def test_streams_are_not_cut_off_before_their_pauses_are_long():
+def test_streams_are_not_cut_off_before_the_early_timeout():
     watch = StallWatch()
-    flowing(watch, path_of("a", "x"), 1.0)
-    flowing(watch, path_of("b", "x"), 1.0)
-    flowing(watch, path_of("c"), 1.2)
+    stream_with_events(watch, path_of("a", "x"), 1.0)
+    stream_with_events(watch, path_of("b", "x"), 1.0)
+    stream_with_events(watch, path_of("c"), 1.2)
     assert watch.cut_off(1.0 + EARLY_SHARE * GAP - 0.01) == []
 
 
-def test_one_silent_stream_alone_may_only_wait_for_memory():
+def test_a_single_silent_stream_is_not_cut_off():
     watch = StallWatch()
-    flowing(watch, path_of("a", "x"), 1.0)
-    flowing(watch, path_of("c"), 1.2)
+    stream_with_events(watch, path_of("a", "x"), 1.0)
+    stream_with_events(watch, path_of("c"), 1.2)
     assert watch.cut_off(1.2) == []
 
 
-def test_nothing_is_cut_off_while_this_entry_hears_nobody():
+def test_nothing_is_cut_off_while_all_streams_are_silent():
     watch = StallWatch()
-    flowing(watch, path_of("a", "x"), 1.0)
-    flowing(watch, path_of("b", "x"), 1.0)
-    flowing(watch, path_of("c"), 1.0)
+    stream_with_events(watch, path_of("a", "x"), 1.0)
+    stream_with_events(watch, path_of("b", "x"), 1.0)
+    stream_with_events(watch, path_of("c"), 1.0)
     assert watch.cut_off(1.2) == []
--- a/packages/core/tests/pipelines/test_stamps.py
+++ b/packages/core/tests/pipelines/test_stamps.py
@@ -10,24 +10,24 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_message_is_never_taken_to_be_newer_than_it_is(seed):
+def test_the_bound_never_exceeds_the_time_of_composition(seed):
     """Clocks differ by any offset; messages are late, lost or held up."""
     rng = Random(seed)
     offset = rng.uniform(-1e6, 1e6)
     one, other = StampTable(0.0), StampTable(offset)
-    now, ways = 1.0, []
+    now, errors = 1.0, []
     for _ in range(200):
-        there, back = rng.expovariate(5.0), rng.expovariate(5.0)
+        transit_out, transit_back = rng.expovariate(5.0), rng.expovariate(5.0)
         if rng.random() < 0.8:
-            other.receive("one", now, now + there + offset)
-        composed_at = now + there + rng.expovariate(5.0)
+            other.receive("one", now, now + transit_out + offset)
+        composed_at = now + transit_out + rng.expovariate(5.0)
         echo = other.echo("one", composed_at + offset)
-        now = composed_at + back
+        now = composed_at + transit_back
         bound = one.composed_at(echo, now)
         if bound is not None:
             assert bound <= composed_at + 1e-6
-            ways.append(composed_at - bound)
-    assert min(ways) < 0.5
+            errors.append(composed_at - bound)
+    assert min(errors) < 0.5
 
 
 @pytest.mark.parametrize(
@@ -40,15 +40,15 @@
         "held for less than nothing",
     ],
 )
-def test_an_echo_that_cannot_be_true_bounds_nothing(echo):
+def test_an_invalid_echo_gives_no_bound(echo):
     assert StampTable(10.0).composed_at(echo, 20.0) is None
 
 
-def test_a_message_was_not_composed_after_it_came():
+def test_the_bound_does_not_exceed_the_time_of_arrival():
     assert StampTable(10.0).composed_at(Echo(15.0, 5.1), 20.0) == 20.0
 
 
-def test_stamps_of_instances_that_are_gone_are_forgotten():
+def test_stamps_of_removed_instances_are_dropped():
     stamps = StampTable(0.0)
     stamps.receive("a", 1.0, 1.0)
     stamps.receive("b", 1.0, 1.0)
--- a/packages/core/tests/pipelines/test_suspects.py
+++ b/packages/core/tests/pipelines/test_suspects.py
@@ -12,21 +12,21 @@
 )
 
 
-def test_an_endpoint_is_left_out_and_comes_back():
+def test_an_endpoint_is_excluded_for_some_time():
     suspects = Suspects()
     suspects.suspect("a", "reset", now=0.0)
     assert suspects.excluded(FIRST_EXCLUSION - 0.1) == {"a"}
     assert suspects.excluded(FIRST_EXCLUSION) == set()
 
 
-def test_further_failures_leave_it_out_for_longer():
+def test_repeated_failures_double_the_exclusion():
     suspects = Suspects()
     suspects.suspect("a", "reset", now=0.0)
     again = suspects.suspect("a", "reset", now=FIRST_EXCLUSION)
     assert again.until == FIRST_EXCLUSION + 2 * FIRST_EXCLUSION
 
 
-def test_what_a_peer_told_is_not_passed_on():
+def test_a_peers_exclusion_is_not_forwarded():
     suspects = Suspects()
     suspects.from_peer("a", 1.5, now=0.0)
     assert suspects.excluded(1.0) == {"a"}
@@ -38,11 +38,11 @@
     [(False, 0.95, True), (False, 0.1, False), (True, 0.95, False)],
     ids=["full", "dead", "without the layers"],
 )
-def test_only_an_endpoint_without_memory_is_left_to_others(misdirected, filled, full):
+def test_only_an_endpoint_short_of_memory_is_full(misdirected, filled, full):
     assert is_full(misdirected, filled) is full
 
 
-def test_only_what_does_not_answer_is_silent():
+def test_only_endpoints_that_do_not_answer_are_silent():
     suspects = Suspects()
     suspects.suspect("a", "rejected with 503", now=0.0)
     suspects.suspect("b", "no report", now=0.0, silent=True)
@@ -53,7 +53,7 @@
     assert suspects.silent(10.0) == set()
 
 
-def test_one_that_is_left_out_already_may_turn_out_to_be_silent():
+def test_an_excluded_endpoint_may_become_silent():
     suspects = Suspects()
     suspects.suspect("a", "rejected with 503", now=0.0)
     suspects.suspect("a", "no report", now=0.1, silent=True)
@@ -63,7 +63,7 @@
     assert suspects.silent(0.3) == {"a", "b"}
 
 
-def test_those_who_were_told_wait_for_the_one_who_saw_it():
+def test_reported_exclusions_last_longer_than_observed_ones():
     """An engine that had to leave was told of by nobody, as the directory was away.
 
     Each of thirty entries left it out for two seconds, at first after a rejection of
@@ -71,15 +71,15 @@
     requests again within the same moment: each was rejected, and took one of the few
     retries that the streams behind a lost endpoint then lacked.
     """
-    seen, told = Suspects(), Suspects()
-    seen.suspect("a", "rejected with 503", now=0.0)
-    told.from_peer("a", FIRST_EXCLUSION, now=0.0)
-    assert seen.excluded(FIRST_EXCLUSION) == set()
-    assert told.excluded(FIRST_EXCLUSION) == {"a"}
-    assert told.excluded(FIRST_EXCLUSION + RECHECK_DELAY) == set()
+    observer, informed = Suspects(), Suspects()
+    observer.suspect("a", "rejected with 503", now=0.0)
+    informed.from_peer("a", FIRST_EXCLUSION, now=0.0)
+    assert observer.excluded(FIRST_EXCLUSION) == set()
+    assert informed.excluded(FIRST_EXCLUSION) == {"a"}
+    assert informed.excluded(FIRST_EXCLUSION + RECHECK_DELAY) == set()
 
 
-def test_a_further_failure_that_a_peer_saw_leaves_it_out_for_longer():
+def test_a_further_failure_reported_by_a_peer_extends_the_exclusion():
     suspects = Suspects()
     suspects.suspect("a", "rejected with 503", now=0.0)
     suspects.from_peer("a", 2 * FIRST_EXCLUSION, now=FIRST_EXCLUSION - 0.1)
@@ -87,7 +87,7 @@
     assert suspects.excluded(3 * FIRST_EXCLUSION) == {"a"}
 
 
-def test_failures_that_a_peer_saw_count_for_the_next_exclusion():
+def test_failures_reported_by_a_peer_count_for_the_next_exclusion():
     suspects = Suspects()
     suspects.from_peer("a", 2 * FIRST_EXCLUSION, now=0.0)
     again = suspects.suspect("a", "rejected with 503", now=5.0)
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("delay", [0.01, 0.1])
-def test_entries_do_not_keep_a_suspicion_alive_between_them(delay):
+def test_entries_do_not_prolong_an_exclusion_by_reporting_it(delay):
     """Each tells the other what remains; on the way it does not get less."""
     one, other = Suspects(), Suspects()
     one.suspect("a", "reset", now=0.0)
@@ -109,7 +109,7 @@
     assert now <= FIRST_EXCLUSION + 2 * RECHECK_DELAY
 
 
-def rejections_of(entries: int, news: float, seconds: float) -> int:
+def count_rejections(entries: int, news_delay: float, seconds: float) -> int:
     """Return how many requests an endpoint rejects that nobody tells to be leaving.
 
     Every entry has a request each 0.1 seconds, and hears of what others saw after some
@@ -124,21 +124,24 @@
             due.remove((at, sender, remaining))
             for number, table in enumerate(tables):
                 if number != sender:
-                    table.from_peer("a", remaining - news, now, same_zone=False)
+                    table.from_peer("a", remaining - news_delay, now, same_zone=False)
         for number, table in enumerate(tables):
             if step % 10 == number % 10 and "a" not in table.excluded(now):
                 rejected += 1
                 found = table.suspect("a", "rejected with 503", now)
-                due.append((now + news, number, found.until - now))
+                due.append((now + news_delay, number, found.until - now))
     return rejected
 
 
-@pytest.mark.parametrize("news", [0.03, 0.1])
-def test_an_endpoint_that_rejects_costs_few_retries_once_one_entry_knows(news):
+@pytest.mark.parametrize("news_delay", [0.03, 0.1])
+def test_a_rejecting_endpoint_costs_few_retries(news_delay):
     """Ten seconds of an endpoint that leaves and that the directory tells nothing of.
 
     It is left out for 2, 4 and 8 seconds, so that it is tried at three times; at each
     the entries try it that have a request before they hear of the first rejection.
     """
-    at_a_time = 30 * min(1.0, (news + 0.01) / 0.1)
-    assert rejections_of(entries=30, news=news, seconds=10.0) <= 3 * at_a_time
+    at_a_time = 30 * min(1.0, (news_delay + 0.01) / 0.1)
+    assert (
+        count_rejections(entries=30, news_delay=news_delay, seconds=10.0)
+        <= 3 * at_a_time
+    )
