--- a/packages/core/tests/pipelines/limit_fleet.py
+++ b/packages/core/tests/pipelines/limit_fleet.py
@@ -1,4 +1,4 @@
-"""Entries that share the limit of one endpoint, with a clock and messages of a test."""
+"""Simulated entries that share the limit of one endpoint, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: The endpoint.
+#: The limited endpoint.
 ENDPOINT = "a"
-#: Seconds that a message takes at the most, and a connection to the endpoint.
+#: Seconds that a message takes at most, and seconds to connect to the endpoint.
 MAX_MESSAGE_DELAY = 0.01
 CONNECT_TIME = 0.005
-#: Seconds after which a request that waits looks again.
+#: Seconds after which a waiting request is tried again.
 RETRY_PERIOD = 0.03
-#: Seconds within which all entries know of what the endpoint names.
+#: Seconds within which all entries learn of a limit that the endpoint advertises.
 PROPAGATION_TIME = 0.4
-#: Seconds without an answer after which one is not waited for any more, and after
-#: which it is asked for again.
+#: Seconds after which an entry gives up on an unanswered demand, and after which it
+#: repeats it.
 ANSWER_TIMEOUT = 0.6
 UNANSWERED_RETRY = 0.2
-#: Seconds after its start by which an entry has heard of the others and they of it.
+#: Seconds after its start in which an entry and the others know of each other.
 DISCOVERY_TIME = 0.2
-#: Seconds between two rounds in which entries forget what is over.
+#: Seconds between two removals of expired state.
 EXPIRY_PERIOD = 0.25
-#: When the limit is named, seconds.
+#: When the endpoint advertises its limit, seconds.
 ADVERTISED_AT = 6.0
 
 
@@ -49,9 +49,9 @@
     Attributes:
         name: Its name.
         limits: What it may send.
-        issuer: What it gives out.
-        alive: Names of the entries that it knows to be alive, itself among them.
-        asking: Whether it waits for an answer.
+        issuer: Issuer of the permits that it grants.
+        alive: Names of the entries that it knows to be alive, including itself.
+        is_waiting: Whether it waits for the answer to a demand.
         is_up: Whether its process runs.
     """
 
@@ -64,13 +64,13 @@
 
 
 class LimitFleet:
-    """Entries before an endpoint, with callers that all want it.
+    """Entries in front of an endpoint whose callers all use that endpoint.
 
     Attributes:
         now: Present time in seconds.
         entries: The entries by name.
-        check: What the endpoint got.
-        sent: Times at which requests were sent under the limit.
+        check: Checks the requests that the endpoint received.
+        sent: Times at which requests were sent, seconds.
     """
 
     def __init__(
@@ -82,15 +82,15 @@
         load: float = 3.5,
         max_wait: float = 0.0,
     ) -> None:
-        """Make entries whose callers want more than the endpoint takes.
+        """Create entries whose callers want more than the endpoint takes.
 
         Args:
-            sharing: How they share its limit.
+            sharing: Name of the policy by which they share its limit.
             entries: How many there are.
-            limit: Requests a second that it will name.
-            seed: Source of all draws.
-            load: Times the limit that callers want.
-            patience: Seconds for which a request waits that may not be sent at once.
+            limit: Requests per second that the endpoint will advertise.
+            seed: Seed of the random numbers.
+            load: Offered load as a multiple of the limit.
+            max_wait: Seconds for which a request waits that may not be sent at once.
         """
         self.rng = Random(seed)
         self.now = 0.0
@@ -103,7 +103,7 @@
         self.order = count()
         names = [f"e{number:02}" for number in range(entries)]
         self.entries = {name: self.make_entry(name, sharing, names) for name in names}
-        # Callers are spread unevenly over the entries.
+        # The load differs between entries.
         self.weights = [self.rng.random() ** 2 + 0.05 for _ in names]
         self.schedule(0.0, self.generate_request)
         self.schedule(0.0, self.expire_state)
@@ -117,18 +117,18 @@
         return LimitedEntry(name, limits, issuer, list(names))
 
     def schedule(self, time: float, call: Callable[[], None]) -> None:
-        """Let something happen at some time."""
+        """Schedule a call."""
         heapq.heappush(self.events, (time, next(self.order), call))
 
     def run_until(self, until: float) -> None:
-        """Play until some time."""
+        """Run the simulation until a time."""
         while self.events[0][0] <= until:
             self.now, _, call = heapq.heappop(self.events)
             call()
         self.now = until
 
     def advertise(self, limit: float | None = None) -> None:
-        """Let the endpoint name its limit, or another one."""
+        """Make the endpoint advertise its limit, or another one."""
         named = self.limit if limit is None else limit
         observed_at = self.now
         for entry in self.entries.values():
@@ -140,13 +140,13 @@
     def observe_limit(
         self, entry: LimitedEntry, named: float, observed_at: float
     ) -> None:
-        """Let an entry learn of a limit, which it passes on to a caller."""
+        """Make an entry observe a limit in an answer, and pass it on to a caller."""
         entry.limits.table.observe(ENDPOINT, named, observed_at + 1e-6, self.now)
         self.check.pass_on(entry.name, self.now)
         self.request_permits(entry)
 
     def generate_request(self) -> None:
-        """Let a caller send a request to some entry."""
+        """Send the request of a caller to a random entry, and schedule the next one."""
         self.schedule(self.now + self.rng.expovariate(self.load), self.generate_request)
         (name,) = self.rng.choices(list(self.entries), self.weights)
         if self.entries[name].is_up:
@@ -154,7 +154,7 @@
             self.try_to_send(self.entries[name], object(), until)
 
     def try_to_send(self, entry: LimitedEntry, request: object, until: float) -> None:
-        """Let an entry send a request, now or a little later."""
+        """Make an entry send a request, now or within the time it may wait."""
         if entry.limits.hold(ENDPOINT, request, self.now):
             self.schedule(self.now + CONNECT_TIME, lambda: self.send(entry, request))
         elif self.now + RETRY_PERIOD <= until:
@@ -163,13 +163,13 @@
         self.request_permits(entry)
 
     def send(self, entry: LimitedEntry, request: object) -> None:
-        """Send a request, if that is still allowed."""
+        """Send a request if it is still allowed."""
         if entry.is_up and entry.limits.take(ENDPOINT, request, self.now):
             self.check.arrivals.append((self.now, entry.name))
             self.sent.append(self.now)
 
     def request_permits(self, entry: LimitedEntry) -> None:
-        """Let an entry ask for the permits that it lacks."""
+        """Make an entry request the permits that it is missing."""
         sharing = entry.limits.sharing
         if not isinstance(sharing, PermitSharing) or entry.is_waiting:
             return
@@ -186,7 +186,10 @@
         )
 
     def answer_demand(self, entry, issuer, demand, requested_at) -> None:
-        """Let an issuer answer; one that takes another one for it gives nothing."""
+        """Answer a demand.
+
+        An entry that takes another one for the issuer grants nothing.
+        """
         other = self.entries[issuer]
         if not other.is_up:
             nothing = Grant("", (), UNANSWERED_RETRY)
@@ -207,17 +210,22 @@
         )
 
     def accept_grant(self, entry, grant, issuer, requested_at) -> None:
-        """Let an entry take what an issuer gave."""
+        """Make an entry accept a grant."""
         sharing, draw = entry.limits.sharing, self.rng.random()
         sharing.accept_grant(ENDPOINT, grant, issuer, requested_at, self.now, draw)
         self.finish_demand(entry)
 
     def finish_demand(self, entry) -> None:
-        """Let an entry ask again."""
+        """Allow an entry to send another demand."""
         entry.is_waiting = False
 
     def restart(self, name: str, downtime: float) -> None:
-        """End an entry now, and start it again after some seconds."""
+        """End an entry now and start it again later.
+
+        Args:
+            name: Name of the entry.
+            downtime: Seconds between its end and its start.
+        """
         old = self.entries[name]
         old.is_up = False
         self.check.excuse(name, self.now, self.now + downtime)
@@ -227,14 +235,14 @@
         self.schedule(self.now + downtime, lambda: self.start_again(name))
 
     def start_again(self, name: str) -> None:
-        """Start an entry that knows nobody, and nothing of what was before it."""
+        """Start an entry that knows no others and has no earlier state."""
         old = self.entries[name]
         sharing = "permits" if isinstance(old.limits.sharing, PermitSharing) else "even"
         entry = self.entries[name] = self.make_entry(name, sharing, [name])
         self.schedule(self.now + DISCOVERY_TIME, lambda: self.discover_peers(entry))
 
     def discover_peers(self, entry: LimitedEntry) -> None:
-        """Let an entry that has started and the others hear of one another."""
+        """Make a started entry and the others know of each other."""
         entry.alive = [name for name, other in self.entries.items() if other.is_up]
         entry.limits.sharing.entries = len(self.entries)
         self.set_known_alive(entry.name, True)
@@ -244,7 +252,7 @@
                 entry.limits.table.from_peer(endpoint, limit.named, age, self.now)
 
     def set_known_alive(self, name: str, is_up: bool) -> None:
-        """Let all others notice that an entry runs, or that it does not."""
+        """Set whether all other entries know an entry to be alive."""
         for entry in self.entries.values():
             if entry.name == name:
                 continue
@@ -256,13 +264,13 @@
         return self.rng.uniform(0.0005, MAX_MESSAGE_DELAY)
 
     def expire_state(self) -> None:
-        """Let entries forget what is over."""
+        """Remove expired state of all entries, and schedule the next removal."""
         self.schedule(self.now + EXPIRY_PERIOD, self.expire_state)
         for entry in self.entries.values():
             entry.limits.sharing.expire(self.now)
             entry.issuer.expire(self.now)
 
     def utilisation(self, since: float) -> float:
-        """Return the share of the limit that was used since some time."""
+        """Return the share of the limit that was used since a time."""
         sent = sum(at >= since for at in self.sent)
         return sent / (self.limit * (self.now - since))
--- a/packages/core/tests/pipelines/test_admission_queue.py
+++ b/packages/core/tests/pipelines/test_admission_queue.py
@@ -1,4 +1,4 @@
-"""Tests of the order in which requests get room."""
+"""Tests of the admission queue and of retry delays."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def queued_request(since: float, urgency: int = 1) -> QueuedRequest:
-    """Return a request that waits for 0.25 seconds."""
+    """Return a request that waits for a quarter of a second."""
     return QueuedRequest(urgency, 1000, since, since + 0.25)
 
 
@@ -40,7 +40,7 @@
 
 
 def test_the_in_time_policy_waits_for_a_share_of_the_objective():
-    """An objective that passes on the way leaves nothing for the first event."""
+    """A wait for the whole objective leaves no time for the first event."""
     assert WAIT_POLICIES.get("in_time")(10.0, 0.6) == 10.0 + IN_TIME_SHARE * 0.6
     assert (
         WAIT_POLICIES.get("in_time")(10.0, 0.6)
--- a/packages/core/tests/pipelines/test_crashes.py
+++ b/packages/core/tests/pipelines/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tests of requests that crash endpoints."""
+"""Tests of the history of requests that crash endpoints."""
 
 from __future__ import annotations
 
--- a/packages/core/tests/pipelines/test_events.py
+++ b/packages/core/tests/pipelines/test_events.py
@@ -1,4 +1,4 @@
-"""Tests of cutting a stream into whole events."""
+"""Tests of splitting a stream into complete events."""
 
 from __future__ import annotations
 
--- a/packages/core/tests/pipelines/test_freshness.py
+++ b/packages/core/tests/pipelines/test_freshness.py
@@ -1,8 +1,8 @@
-"""Tests of when an entry reads the platform itself.
+"""Tests of when an entry repeats reads from the platform.
 
-The store reset every connection for eight seconds. Thirty-one entries asked on four
-times a second for the configuration and for the endpoints: two thousand calls, none of
-which could tell anything.
+They guard against a retry storm: while the store reset every connection for eight
+seconds, thirty-one entries each read configuration and directory four times a second,
+two thousand calls without an answer.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
     fixed_delay,
 )
 
-#: Seconds for which the store is away.
+#: Seconds for which the store is unavailable.
 OUTAGE = 8.0
 ENTRIES = 31
 
 
 def simulate_outage(delay) -> tuple[int, list[float]]:
-    """Return the calls during an outage, and when each entry asks after it."""
+    """Return the calls during an outage, and the delay of each entry's next read."""
     rng = Random(1)
     calls, first_reads = 0, []
     for _ in range(ENTRIES):
@@ -46,7 +46,7 @@
 
 
 def test_all_entries_read_soon_after_an_outage():
-    """All have its news two seconds after its return; what one reads takes half."""
+    """All must know the result two seconds after the outage; a read takes a second."""
     _, first_reads = simulate_outage(backoff_delay)
     assert min(first_reads) <= MIN_RETRY_DELAY
     assert max(first_reads) <= MAX_RETRY_DELAY
--- a/packages/core/tests/pipelines/test_incarnation.py
+++ b/packages/core/tests/pipelines/test_incarnation.py
@@ -1,4 +1,4 @@
-"""Tests of which start of an endpoint something is about."""
+"""Tests of incarnations of endpoints, and of directory entries of earlier ones."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def entry(born: int, sequence: int = 1, name: str = "a", **changes):
-    """Return what an endpoint's entry tells."""
+    """Return an endpoint as its directory entry describes it."""
     identifier = Incarnation(name, born).id
     found = attrs.evolve(make_endpoint(identifier, "large"), name=name, born=born)
     return attrs.evolve(found, address="a:1", sequence=sequence, **changes)
--- a/packages/core/tests/pipelines/test_limit_sharing.py
+++ b/packages/core/tests/pipelines/test_limit_sharing.py
@@ -1,4 +1,4 @@
-"""Tests of how entries share what an endpoint takes that names a limit."""
+"""Tests of how entries share the limit of an endpoint."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 from .limit_fleet import ADVERTISED_AT, ENDPOINT, LimitFleet
 
-#: Seconds for which a request waits that has nowhere else to go.
+#: Seconds for which a request waits that no other endpoint can serve.
 WAIT = 0.25
-#: Part of a limit that is used at the least where callers want more and wait.
+#: Lowest share of a limit in use while callers want more and wait.
 USED_SHARE = 0.6
 SEEDS = [1, 2, 3]
 SIZES = [5, 68]
@@ -72,7 +72,7 @@
 
 
 def make_limits(sharing, named=2.0):
-    """Return what an entry may send to an endpoint that names a limit."""
+    """Return the send limits of an entry that knows of a limited endpoint."""
     limits = SendLimits(sharing=sharing)
     limits.table.observe(ENDPOINT, named, 0.0, 0.0)
     return limits
@@ -135,7 +135,8 @@
     for tick in range(10, 45):
         ask = PermitDemand("other", 1)
         given += len(issuer.grant(ENDPOINT, ask, 2.0, tick / 10).delays)
-    # A quarter more than eight in four seconds and two besides, less the ten.
+    # The window may hold a quarter more than its eight requests and two extra ones; ten
+    # were sent before.
     assert given <= 2 + 1
 
 
--- a/packages/core/tests/pipelines/test_peers.py
+++ b/packages/core/tests/pipelines/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of which entries are alive, and which of them reads."""
+"""Tests of which entries are alive, their ranks, and when they read."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def table_of(name: str, others: str, heard_at: float) -> PeerTable:
-    """Return the book of an entry that heard others."""
+    """Return the table of an entry that received messages of others."""
     book = PeerTable(name)
     for other in others:
         book.record_message(other, f"{other}:1", False, heard_at)
@@ -91,7 +91,7 @@
 
 
 def test_callers_wait_for_the_entry_that_began_to_leave_first():
-    """Callers had been sent back at once, to entries that refused them again."""
+    """Callers sent back at once would reach entries that refuse them again."""
     book = table_of("a", "bc", 0.0)
     book.record_message("b", "b:1", True, 2.0)
     book.record_message("c", "c:1", True, 4.0)
--- a/packages/core/tests/pipelines/test_request_limits.py
+++ b/packages/core/tests/pipelines/test_request_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the limits that endpoints name."""
+"""Tests of the limits that endpoints advertise."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     [((2.0,), 1), ((2.0, 1.9, 2.1, 1.9, 2.0), 1), ((2.0, 1.0), 2)],
 )
 def test_small_changes_of_a_limit_are_no_decrease(limits, decreases):
-    """All entries are told of a fall at once, so each of them costs a round."""
+    """A decrease is reported to all entries at once, which costs a message round."""
     table = LimitTable()
     seen = []
     table.on_decrease = seen.append
--- a/packages/core/tests/pipelines/test_restart_estimate.py
+++ b/packages/core/tests/pipelines/test_restart_estimate.py
@@ -1,4 +1,4 @@
-"""Tests of when instances that are ending are expected to be back."""
+"""Tests of when instances that restart are expected to accept connections."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     expected_end,
 )
 
-#: Seconds in which an entry must have ended.
+#: Seconds in which an entry that is shutting down must have ended.
 GRACE = 8.0
 
 
 def table_of_leaving(**ends_in: float | None) -> PeerTable:
-    """Return the book of entry a, which heard others at 4 that end in some time."""
+    """Return the table of entry a, to which others reported at 4 when they end."""
     book = PeerTable("a")
     for name, seconds in ends_in.items():
         book.record_message(name, f"{name}:1", True, 4.0, ends_in=seconds)
@@ -39,7 +39,7 @@
 
 
 def test_callers_wait_for_the_first_entry_to_end():
-    """Callers waited for the grace time of entries that ended seconds before."""
+    """Callers must not wait for the grace time of entries that end seconds earlier."""
     book = table_of_leaving(b=3.0, c=0.5, d=2.0)
     assert book.ready_in(GRACE, 4.0, own_end=8.0) == pytest.approx(0.5 + READY_AFTER)
 
@@ -73,7 +73,7 @@
 
 
 def test_callers_wait_at_least_for_the_minimum_until_an_entry_returns():
-    """They came back within some milliseconds, to entries that were still ending."""
+    """Callers that retry at once reach entries that still shut down."""
     book = table_of_leaving(b=0.0)
     now = 4.0 + READY_AFTER + 0.1
     assert book.ready_in(GRACE, now, own_end=now + 1.0) == MIN_WAIT
@@ -87,7 +87,7 @@
 
 
 def test_callers_wait_until_a_returned_entry_is_in_rotation():
-    """Callers came at once, were sent to entries still ending, and refused for good."""
+    """Callers that retry at once reach entries that still shut down."""
     book = table_of_leaving(b=0.0, c=3.0)
     book.record_message("b", "b:1", False, 5.2)
     book.record_message("b", "b:1", False, 5.4)
@@ -111,7 +111,7 @@
 
 
 def test_a_late_report_does_not_mark_a_leaving_entry_as_returned():
-    """Others had heard it before its request to end, and their word came late."""
+    """A peer's report of a message from before the shutdown may arrive after it."""
     book = table_of_leaving(b=3.0)
     book.record_report("b", "b:1", "", age=0.15, now=4.2)
     assert book.alive(4.2) == ["a"]
--- a/packages/core/tests/pipelines/test_retry_budget.py
+++ b/packages/core/tests/pipelines/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the budget for second sends."""
+"""Tests of the retry budget."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 def test_the_last_retries_are_reserved_for_begun_answers():
-    """A request without an answer yet can be refused, and its caller come back."""
+    """A request without an answer yet can be refused, since its caller can retry."""
     budget = RetryBudget(ratio=0.0, window=10.0, slack=8.0 / SAFETY_SHARE)
     while budget.allows("s", now=0.0, reserved=False):
         budget.take("s", now=0.0)
@@ -131,7 +131,7 @@
     assert budget.lend("s", 1, now=0.1) == 1
 
 
-#: Retries for each request, seconds of a window and retries besides, of a deployment.
+#: Retries per request, window in seconds, and additional retries of a deployment.
 RATIO, WINDOW, SLACK = 0.2, 10.0, 100.0
 
 
@@ -149,7 +149,7 @@
 def test_entries_that_restart_within_a_window_stay_within_the_slack(
     seed, known_at_start
 ):
-    """Some more than once, whether or not they have heard of one another."""
+    """Entries may restart more than once, whether or not they know the others."""
     rng = Random(seed)
     entries = [RetryBudget(RATIO, WINDOW, SLACK, entries=8) for _ in range(8)]
     requests, retries = [], []
@@ -171,7 +171,7 @@
 
 
 def test_entries_that_are_added_stay_within_the_slack():
-    """Others have used more than the share that is left to them until they hear it."""
+    """The others use more than their new share until they learn of the new ones."""
     entries = [RetryBudget(RATIO, WINDOW, SLACK, entries=4) for _ in range(4)]
     retries = []
     for tick in range(800):
--- a/packages/core/tests/pipelines/test_stalls.py
+++ b/packages/core/tests/pipelines/test_stalls.py
@@ -1,4 +1,4 @@
-"""Tests of which silent streams are looked at."""
+"""Tests of which silent streams are checked for a stall."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     StallWatch,
 )
 
-#: Seconds that a route allows between two events, and in which it wants the first.
+#: Seconds that a route allows between two events, and its objective in seconds.
 GAP = 0.2
 OBJECTIVE = 0.5
 
@@ -87,7 +87,7 @@
 
 
 def stream_with_events(watch: StallWatch, path: Path, until: float):
-    """Return a stream that gets an event every 20 milliseconds until a time."""
+    """Return a stream that receives an event every 20 milliseconds until a time."""
     watched = begin_with_event(watch, path, 0.0)
     for step in range(1, round(until / 0.02) + 1):
         watched.progress(step * 0.02)
--- a/packages/core/tests/pipelines/test_stamps.py
+++ b/packages/core/tests/pipelines/test_stamps.py
@@ -1,4 +1,4 @@
-"""Tests of bounds on when messages were composed."""
+"""Tests of the bounds on when messages were composed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_the_bound_never_exceeds_the_time_of_composition(seed):
-    """Clocks differ by any offset; messages are late, lost or held up."""
+    """Clocks differ by any offset; messages are delayed or lost."""
     rng = Random(seed)
     offset = rng.uniform(-1e6, 1e6)
     one, other = StampTable(0.0), StampTable(offset)
@@ -35,9 +35,9 @@
     [None, Echo(5.0, 0.1), Echo(21.0, 0.1), Echo(15.0, -0.1)],
     ids=[
         "none",
-        "of an earlier process",
-        "of the future",
-        "held for less than nothing",
+        "from an earlier process",
+        "from the future",
+        "negative hold time",
     ],
 )
 def test_an_invalid_echo_gives_no_bound(echo):
--- a/packages/core/tests/pipelines/test_suspects.py
+++ b/packages/core/tests/pipelines/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of endpoints that are left out for a while."""
+"""Tests of endpoints that are excluded for a while."""
 
 from __future__ import annotations
 
@@ -64,12 +64,12 @@
 
 
 def test_reported_exclusions_last_longer_than_observed_ones():
-    """An engine that had to leave was told of by nobody, as the directory was away.
+    """Only the entry that saw a failure tries the endpoint again first.
 
-    Each of thirty entries left it out for two seconds, at first after a rejection of
-    its own and later after its peers' word. When that was over, all of them sent it
-    requests again within the same moment: each was rejected, and took one of the few
-    retries that the streams behind a lost endpoint then lacked.
+    A leaving engine was not listed as such, because the directory was unavailable. All
+    thirty entries excluded it for two seconds and then sent it requests at the same
+    moment. Each was rejected and used one of the few retries that streams behind a lost
+    endpoint needed.
     """
     observer, informed = Suspects(), Suspects()
     observer.suspect("a", "rejected with 503", now=0.0)
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("delay", [0.01, 0.1])
 def test_entries_do_not_prolong_an_exclusion_by_reporting_it(delay):
-    """Each tells the other what remains; on the way it does not get less."""
+    """The remaining time in a report does not shrink while the report is in transit."""
     one, other = Suspects(), Suspects()
     one.suspect("a", "reset", now=0.0)
     other.suspect("a", "reset", now=0.05)
@@ -110,10 +110,15 @@
 
 
 def count_rejections(entries: int, news_delay: float, seconds: float) -> int:
-    """Return how many requests an endpoint rejects that nobody tells to be leaving.
+    """Return the rejections of an endpoint that the directory does not show as leaving.
 
-    Every entry has a request each 0.1 seconds, and hears of what others saw after some
-    time.
+    Every entry has a request each 0.1 seconds, and receives the observations of others
+    with a delay.
+
+    Args:
+        entries: Number of entries.
+        news_delay: Seconds until an observation reaches the other entries.
+        seconds: Duration of the simulation.
     """
     tables = [Suspects() for _ in range(entries)]
     due: list[tuple[float, int, float]] = []
@@ -135,10 +140,10 @@
 
 @pytest.mark.parametrize("news_delay", [0.03, 0.1])
 def test_a_rejecting_endpoint_costs_few_retries(news_delay):
-    """Ten seconds of an endpoint that leaves and that the directory tells nothing of.
+    """An endpoint rejects for ten seconds, and the directory does not report it.
 
-    It is left out for 2, 4 and 8 seconds, so that it is tried at three times; at each
-    the entries try it that have a request before they hear of the first rejection.
+    It is excluded for 2, 4 and 8 seconds, so it is tried at three times, each time by
+    the entries that have a request before they learn of the first rejection.
     """
     at_a_time = 30 * min(1.0, (news_delay + 0.01) / 0.1)
     assert (
--- a/packages/core/tests/pipelines/test_version_fleet.py
+++ b/packages/core/tests/pipelines/test_version_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of how long versions need to entries with which nothing is wrong."""
+"""Tests of the time that versions take to reach entries without a fault."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 #: Entries by availability zone, with the seconds in which versions must be in force.
 SMALL_FLEET = ({"a": 2, "b": 2, "c": 1}, 2.0)
 LARGE_FLEET = ({"a": 14, "b": 14, "c": 14, "d": 13, "e": 13}, 4.0)
-#: Versions of a storm: seconds between two of them, and for which they come.
+#: Burst of versions: seconds between two of them at most, and its duration in seconds.
 MAX_PUBLISH_GAP = 0.3
 BURST_TIME = 9.0
-#: Seconds of a storm before the trouble at the least, and from its start to the end.
+#: Seconds of the burst before the faults at least, and seconds observed after them.
 TIME_BEFORE_FAULTS = 1.0
 OBSERVED_TIME = 7.0
 
 
 def disconnect(fleet, entry):
-    """Let the source give an entry no answer."""
+    """Disconnect an entry from the source."""
     entry.is_disconnected = True
 
 
 def crash(fleet, entry):
-    """End an entry at once."""
+    """Crash an entry."""
     entry.is_up = False
 
 
 def freeze(fleet, entry):
-    """Let an entry stand still for some seconds."""
+    """Freeze an entry for some seconds."""
     entry.frozen_until = fleet.now + 4.0
 
 
 def slow_down(fleet, entry):
-    """Let an entry get to its work late."""
+    """Make an entry start its work late."""
     entry.max_scheduling_delay = 1.2
 
 
 def delay_messages(fleet, entry):
-    """Let messages from and to an entry come late."""
+    """Delay messages from and to an entry."""
     entry.max_extra_delay = 1.2
 
 
@@ -58,7 +58,7 @@
 
 
 def worst_lag(fleet: VersionFleet, *faults) -> float:
-    """Play a storm in which the first entries meet trouble; return the worst lag."""
+    """Return the worst lag in a burst during which the first readers have faults."""
     fleet.settle()
     fleet.publish_burst(MAX_PUBLISH_GAP, BURST_TIME)
     fleet.run_until(fleet.now + TIME_BEFORE_FAULTS + fleet.rng.random())
@@ -103,7 +103,10 @@
 
 
 class HistoryFleet(VersionFleet):
-    """Entries that go on where they read last, and take each read for the newest."""
+    """Mutant whose entries read on from their last position.
+
+    They take the result of each read for the newest version.
+    """
 
     most = 6
 
@@ -113,21 +116,21 @@
 
 
 class ArrivalFleet(VersionFleet):
-    """Entries that count the age of what they read from its arrival."""
+    """Mutant whose entries count the age of what they read from its arrival."""
 
     def known_at(self, sent_at, waited):
         return self.now
 
 
 class ArrivalStampFleet(VersionFleet):
-    """Entries that take news to be composed when they arrive."""
+    """Mutant whose entries take news to be composed on arrival."""
 
     def composed_at(self, entry, news):
         return self.now
 
 
 class PatientFleet(VersionFleet):
-    """Entries that leave reading to others for most of the time there is."""
+    """Mutant whose entries leave reads to others for most of the bound."""
 
     def add(self, name, zone):
         super().add(name, zone)
--- a/packages/core/tests/pipelines/version_fleet.py
+++ b/packages/core/tests/pipelines/version_fleet.py
@@ -1,4 +1,4 @@
-"""Entries that read versions and tell one another, with a clock and links of a test."""
+"""Simulated entries that read and exchange versions, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 
     from lacewingcourse.core.pipelines.freshness import Freshness
 
-#: Seconds that a message or a call takes at the most where nothing is wrong.
+#: Seconds that a message or a call takes at most without faults.
 MAX_MESSAGE_DELAY = 0.005
-#: Seconds between two rounds of news, and between two looks whether to read.
+#: Seconds between two gossip rounds, and between two checks whether a read is due.
 GOSSIP_PERIOD = 0.2
 READ_CHECK_PERIOD = 0.05
-#: Seconds in which a call of the source must be answered, besides what it may wait.
+#: Seconds in which the source must answer a call, in addition to its wait.
 CALL_TIMEOUT = 1.0
 #: Seconds in which another entry must answer.
 PEER_TIMEOUT = 0.6
-#: Seconds in which entries find one another before versions come.
+#: Seconds in which entries discover each other before versions are published.
 SETTLE_TIME = 4.0
 
 
 @attrs.frozen
 class News:
-    """What an entry tells another one.
+    """State that an entry sends to another one.
 
     Attributes:
         sender: Its name.
         version: Version that it knows.
-        age: Seconds since it knew that to be the newest.
+        age: Seconds since that was known to be the newest.
         reads: Whether the source answers it.
-        peers: Seconds since it heard each other entry, by name.
-        stamp: Time of its clock.
-        echo: Time of the receiver's clock that it carries back.
+        peers: Seconds since the last message of each other entry, by name.
+        stamp: Time of its clock, seconds.
+        echo: Time of the receiver's clock that the message returns.
     """
 
     sender: str
@@ -61,18 +61,18 @@
     Attributes:
         name: Its name.
         zone: Its availability zone.
-        book: What it knows of the others.
-        freshness: How old its version is known to be.
-        stamps: When what others tell was composed.
+        peer_table: The other entries.
+        freshness: Age of its version.
+        stamps: Bounds on when messages were composed.
         version: Version in force.
-        known: When each version was in force, seconds.
-        is_cut: Whether the source gives it no answer.
+        known: When each version came into force, seconds.
+        is_disconnected: Whether the source does not answer it.
         is_up: Whether it runs.
-        frozen_until: When it goes on, seconds.
-        lateness: Seconds by which it gets to its work late at the most.
-        loss: Seconds by which its messages come late at the most.
+        frozen_until: End of a freeze, seconds.
+        max_scheduling_delay: Seconds by which its work starts late at most.
+        max_extra_delay: Seconds by which its messages are late at most.
         reachable: Whether the source answered its last read.
-        position: Version that it read last itself.
+        position: Version of its last own read.
     """
 
     name: str
@@ -92,7 +92,7 @@
 
     @property
     def is_healthy(self) -> bool:
-        """Whether nothing is wrong with it."""
+        """Whether it has no fault."""
         impaired = (
             self.is_disconnected
             or self.frozen_until
@@ -103,26 +103,27 @@
 
 
 class VersionFleet:
-    """Entries before a source of versions.
+    """Entries that read from a source of versions.
 
     Attributes:
         now: Present time in seconds.
-        standing: Entries that read however new their knowledge is.
+        standing_readers: Entries that read regardless of the age of their knowledge.
         entries: The entries by name.
         acknowledged: When each version was acknowledged, seconds.
-        reads: Reads of the source so far.
+        reads: Number of reads of the source.
     """
 
     def __init__(
         self, zones: dict[str, int], bound: float, seed: int, standing_readers: int = 1
     ) -> None:
-        """Make entries that know one another.
+        """Create entries that know each other.
 
         Args:
-            zones: Entries of each availability zone.
+            zones: Number of entries by availability zone.
             bound: Seconds within which a version must be in force.
-            seed: Source of all draws.
-            standing: Entries that read however new their knowledge is.
+            seed: Seed of the random numbers.
+            standing_readers: Entries that read regardless of the age of their
+                knowledge.
         """
         self.standing_readers = standing_readers
         self.rng = Random(seed)
@@ -157,11 +158,11 @@
         )
 
     def schedule(self, time: float, call: Callable[[], None]) -> None:
-        """Let something happen at some time."""
+        """Schedule a call."""
         heapq.heappush(self.events, (time, next(self.order), call))
 
     def run_until(self, until: float) -> None:
-        """Play until some time."""
+        """Run the simulation until a time."""
         while self.events[0][0] <= until:
             self.now, _, call = heapq.heappop(self.events)
             call()
@@ -170,7 +171,7 @@
     def run_on(
         self, entry: VersionEntry, time: float, call: Callable[[], None]
     ) -> None:
-        """Let an entry do something at some time, or as soon as it gets to it."""
+        """Schedule a call on an entry; it runs late on a slow or frozen one."""
         late = self.rng.uniform(0, entry.max_scheduling_delay)
 
         def begin() -> None:
@@ -189,7 +190,7 @@
         return self.rng.uniform(0.0005, MAX_MESSAGE_DELAY) + lost
 
     def settle(self) -> None:
-        """Let entries find one another."""
+        """Run until the entries have discovered each other."""
         self.run_until(SETTLE_TIME)
 
     def in_read_order(self) -> list[VersionEntry]:
@@ -201,15 +202,15 @@
         return sorted(self.entries.values(), key=rank)
 
     def publish(self) -> None:
-        """Let the operator publish a version, which is acknowledged at once."""
+        """Publish a version, which is acknowledged at once."""
         self.acknowledged[len(self.acknowledged)] = self.now
 
     def publish_burst(self, gap: float, seconds: float) -> None:
-        """Publish a version each few seconds for some time.
+        """Schedule versions in quick succession.
 
         Args:
-            gap: Seconds between two versions at the most.
-            seconds: For how long they come.
+            gap: Seconds between two versions at most.
+            seconds: Duration of the burst.
         """
         at, end = self.now, self.now + seconds
         while at < end:
@@ -222,7 +223,7 @@
         return len(self.acknowledged) - 1
 
     def check_read(self, entry: VersionEntry) -> None:
-        """Let an entry read if it is its turn, and look again later."""
+        """Make an entry read if a read is due, otherwise check again later."""
         rank = entry.peer_table.reader_rank(self.now, entry.reachable)
         if entry.freshness.due(max(0, rank + 1 - self.standing_readers), self.now):
             self.read(entry)
@@ -232,7 +233,7 @@
             )
 
     def read(self, entry: VersionEntry) -> None:
-        """Let an entry read, waiting for a version that it does not know."""
+        """Make an entry read, waiting for a version that it does not know."""
         self.reads += 1
         sent_at = self.now
         until = sent_at + self.budget.wait
@@ -244,7 +245,7 @@
         self.schedule(there, lambda: self.answer(entry, sent_at, until))
 
     def answer(self, entry: VersionEntry, sent_at: float, until: float) -> None:
-        """Let the source answer if there is a version, or if it has waited enough."""
+        """Make the source answer once there is a new version or the wait is over."""
         if self.newest == entry.version and self.now < until:
             again = min(until, self.now + MAX_MESSAGE_DELAY)
             self.schedule(again, lambda: self.answer(entry, sent_at, until))
@@ -265,42 +266,42 @@
         self.run_on(entry, back, take)
 
     def read_version(self, entry: VersionEntry) -> int:
-        """Return the version that the source gives an entry."""
+        """Return the version that a read by an entry returns."""
         return self.newest
 
     def known_at(self, sent_at: float, waited: float) -> float:
-        """Return when what a read brought was the newest.
+        """Return when the result of a read was the newest version.
 
         Args:
             sent_at: When the read was sent, seconds.
-            waited: Seconds for which the source waited in vain.
+            waited: Seconds for which the source waited without a new version.
         """
         return sent_at + waited
 
     def composed_at(self, entry: VersionEntry, news: News) -> float | None:
-        """Return when an entry takes news to have been composed."""
+        """Return the composition time that an entry assumes for news."""
         return entry.stamps.composed_at(news.echo, self.now)
 
     def on_failed_read(self, entry: VersionEntry) -> None:
-        """Let an entry note that a read was not answered."""
+        """Record that a read of an entry was not answered."""
         entry.reachable = False
         entry.freshness.failed(self.now, self.rng.random())
         self.check_read(entry)
 
     def apply_version(self, entry: VersionEntry, version: int) -> None:
-        """Put a version in force unless a newer one is, and tell it at once."""
+        """Put a version in force unless a newer one is, and report it at once."""
         if version > entry.version:
             entry.version = version
             entry.known[version] = self.now
             self.send_news(entry, urgent=True)
 
     def gossip(self, entry: VersionEntry) -> None:
-        """Let an entry speak with others, and again in the next round."""
+        """Run a gossip round of an entry, and schedule the next one."""
         self.send_news(entry, urgent=False)
         self.run_on(entry, self.now + GOSSIP_PERIOD, lambda: self.gossip(entry))
 
     def send_news(self, entry: VersionEntry, urgent: bool) -> None:
-        """Let an entry speak with those whose turn it is."""
+        """Send news of an entry to its gossip targets."""
         for peer in entry.peer_table.gossip_targets(self.now, urgent):
             other = self.entries[peer.name]
             news = self.news(entry, other)
@@ -310,7 +311,7 @@
             )
 
     def news(self, entry: VersionEntry, receiver: VersionEntry) -> News:
-        """Return what an entry tells another one now."""
+        """Return the news that an entry sends to another one now."""
         reported = entry.peer_table.peers_to_report(receiver.zone, self.now)
         return News(
             entry.name,
@@ -323,7 +324,13 @@
         )
 
     def receive(self, entry: VersionEntry, news: News, asked: bool) -> None:
-        """Let an entry take news, and answer them if it was asked."""
+        """Make an entry process news; it answers a request.
+
+        Args:
+            entry: The receiver.
+            news: The news.
+            asked: Whether the sender expects an answer.
+        """
         sender = self.entries[news.sender]
         peer_table = entry.peer_table
         peer_table.record_message(
@@ -344,7 +351,7 @@
             self.run_on(sender, arrives, lambda: self.receive(sender, answer, False))
 
     def fetch(self, entry: VersionEntry, sender: VersionEntry) -> None:
-        """Let an entry fetch the version of another one."""
+        """Make an entry fetch the version of another one."""
         sent_at = self.now
         there = self.now + self.delay(entry, sender)
 
@@ -357,7 +364,7 @@
         self.run_on(sender, there, answer)
 
     def max_lag(self, entry: VersionEntry) -> float:
-        """Return the seconds that a version needed at the most to come into force."""
+        """Return the largest delay in seconds between acknowledgement and effect."""
         worst, pending = 0.0, 0
         for version in sorted(entry.known):
             for missed in range(pending + 1, version + 1):
@@ -368,6 +375,6 @@
         return worst
 
     def healthy_lag(self) -> float:
-        """Return the worst lag of the entries with which nothing is wrong."""
+        """Return the largest lag of the entries without a fault."""
         healthy = [entry for entry in self.entries.values() if entry.is_healthy]
         return max(self.max_lag(entry) for entry in healthy)
