--- a/packages/core/src/lacewingcourse/core/pipelines/peers.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/peers.py
@@ -68,7 +68,7 @@
     name: str
     address: str
     zone: str = ""
-    heard_at: float = float("-inf")
+    last_message_at: float = float("-inf")
     known_since: float = 0.0
     leaving: bool = False
     leaving_since: float | None = None
@@ -76,11 +76,11 @@
     returned_at: float = float("-inf")
     reads: bool = True
 
-    def mark_alive(self, heard_at: float) -> None:
+    def mark_alive(self, last_message_at: float) -> None:
         """Record that it was alive and not shutting down at a time."""
         if self.leaving:
-            self.returned_at = heard_at
-        self.heard_at = heard_at
+            self.returned_at = last_message_at
+        self.last_message_at = last_message_at
         self.leaving = False
         self.leaving_since = self.ends_at = None
 
@@ -92,7 +92,7 @@
                 that.
             now: Present time in seconds.
         """
-        self.heard_at = now
+        self.last_message_at = now
         self.leaving = True
         self.ends_at = None if ends_in is None else now + ends_in
         if self.leaving_since is None:
@@ -111,9 +111,9 @@
         ends_at = self.ends_at
         if ends_at is None:
             ends_at = self.leaving_since + grace
-        if now - self.heard_at <= PEER_SILENCE_TIMEOUT:
+        if now - self.last_message_at <= PEER_SILENCE_TIMEOUT:
             return ends_at
-        return min(ends_at, self.heard_at + GOSSIP_PERIOD)
+        return min(ends_at, self.last_message_at + GOSSIP_PERIOD)
 
 
 @attrs.define
@@ -200,19 +200,19 @@
             return
         self.set_address(name, address, now, zone)
         known = self.peers[name]
-        if known.leaving and now - known.heard_at <= PEER_SILENCE_TIMEOUT:
+        if known.leaving and now - known.last_message_at <= PEER_SILENCE_TIMEOUT:
             return
-        if known.heard_at < now - age:
+        if known.last_message_at < now - age:
             known.mark_alive(now - age)
 
     def alive(self, now: float) -> list[str]:
         """Return the names of the entries known to be alive, this one included."""
-        heard = [
+        reachable = [
             peer.name
             for peer in self.peers.values()
-            if now - peer.heard_at <= PEER_SILENCE_TIMEOUT and not peer.leaving
+            if now - peer.last_message_at <= PEER_SILENCE_TIMEOUT and not peer.leaving
         ]
-        return sorted([self.name, *heard])
+        return sorted([self.name, *reachable])
 
     def first_ready(
         self, grace: float, now: float, own_end: float | None = None
@@ -231,14 +231,14 @@
         if alive:
             first = min(alive, key=lambda peer: peer.returned_at)
             return Restart(first.name, first.returned_at, first.returned_at)
-        returns = [
+        restarts = [
             Restart(peer.name, peer.expected_end_time(grace, now))
             for peer in self.peers.values()
             if peer.leaving_since is not None
         ]
         if own_end is not None:
-            returns.append(Restart(self.name, own_end))
-        return first_ready(returns, now) or Restart(self.name, now)
+            restarts.append(Restart(self.name, own_end))
+        return first_ready(restarts, now) or Restart(self.name, now)
 
     def ready_in(self, grace: float, now: float, own_end: float | None = None) -> float:
         """Return the seconds until an entry is expected to accept connections.
@@ -360,7 +360,7 @@
         after = [self.peers[n] for n in names if n > self.name]
         before = [self.peers[n] for n in names if n < self.name]
         return after + [
-            p for p in before if now - p.heard_at > PEER_SILENCE_TIMEOUT / 2
+            p for p in before if now - p.last_message_at > PEER_SILENCE_TIMEOUT / 2
         ]
 
     def _rotate(self, names: list[str], count: int) -> list[str]:
@@ -376,11 +376,12 @@
         Entries of other zones are silent here because their messages go through hubs;
         they are probed only while no entry of their zone is heard from.
         """
-        heard = {self.zone_of(name) for name in self.alive(now)} - {self.zone, ""}
+        reachable = {self.zone_of(name) for name in self.alive(now)} - {self.zone, ""}
         silent = [
             peer.name
             for peer in self.peers.values()
-            if now - peer.heard_at > PEER_SILENCE_TIMEOUT and peer.zone not in heard
+            if now - peer.last_message_at > PEER_SILENCE_TIMEOUT
+            and peer.zone not in reachable
         ]
         return [
             self.peers[n] for n in self._rotate(sorted(silent), MAX_SILENT_PER_ROUND)
@@ -397,7 +398,7 @@
     def expire(self, now: float) -> None:
         """Remove entries that have been silent for a long time."""
         for peer in list(self.peers.values()):
-            if now - max(peer.heard_at, peer.known_since) > PEER_RETENTION:
+            if now - max(peer.last_message_at, peer.known_since) > PEER_RETENTION:
                 del self.peers[peer.name]
         zones = {peer.zone for peer in self.peers.values()}
         self.counts = {z: n for z, n in self.counts.items() if z in zones}
--- a/packages/core/src/lacewingcourse/core/pipelines/restart_estimate.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/restart_estimate.py
@@ -81,12 +81,12 @@
     return min(last, max(soonest, now + longest))
 
 
-def first_ready(returns: Iterable[Restart], now: float) -> Restart | None:
+def first_ready(restarts: Iterable[Restart], now: float) -> Restart | None:
     """Return the instance expected to be ready first, None if none is expected.
 
     Args:
         returns: Instances that restart.
         now: Present time in seconds.
     """
-    pending = [each for each in returns if each.ready_at + OVERDUE_TIME > now]
+    pending = [each for each in restarts if each.ready_at + OVERDUE_TIME > now]
     return min(pending, key=lambda each: each.ready_at, default=None)
--- a/packages/core/src/lacewingcourse/core/pipelines/stalls.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/stalls.py
@@ -170,16 +170,16 @@
         for watched in begun:
             for part in watched.path.parts:
                 through.setdefault(part.endpoint, []).append(watched)
-        silent_parts = {
+        silent_endpoints = {
             endpoint
             for endpoint, streams in through.items()
             if silent.issuperset(streams)
         }
-        dead = {e for e in silent_parts if len(through[e]) >= MIN_EARLY_STREAMS}
+        dead = {e for e in silent_endpoints if len(through[e]) >= MIN_EARLY_STREAMS}
         found = [w for w in begun if w.path.uses(dead)]
         return [
             SuspectedStall(
-                w, tuple(p for p in w.path.parts if p.endpoint in silent_parts)
+                w, tuple(p for p in w.path.parts if p.endpoint in silent_endpoints)
             )
             for w in found
         ]
--- a/packages/core/tests/pipelines/test_peers.py
+++ b/packages/core/tests/pipelines/test_peers.py
@@ -11,11 +11,11 @@
 from lacewingcourse.core.pipelines.restart_estimate import READY_AFTER, ROTATION_TIME
 
 
-def table_of(name: str, others: str, heard_at: float) -> PeerTable:
+def table_of(name: str, others: str, last_message_at: float) -> PeerTable:
     """Return the table of an entry that received messages of others."""
     book = PeerTable(name)
     for other in others:
-        book.record_message(other, f"{other}:1", False, heard_at)
+        book.record_message(other, f"{other}:1", False, last_message_at)
     return book
 
 
--- a/packages/core/tests/pipelines/version_fleet.py
+++ b/packages/core/tests/pipelines/version_fleet.py
@@ -318,7 +318,7 @@
             entry.version,
             entry.freshness.age(self.now),
             entry.reachable,
-            {peer.name: self.now - peer.heard_at for peer in reported},
+            {peer.name: self.now - peer.last_message_at for peer in reported},
             self.now,
             entry.stamps.echo(receiver.name, self.now),
         )
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -121,7 +121,11 @@
             speeds=self.beliefs.speeds.remaining(now),
             crashes=self.beliefs.crashes.losses(now, reach),
             peers={
-                peer.name: (peer.address, peer.zone, round(now - peer.heard_at, 3))
+                peer.name: (
+                    peer.address,
+                    peer.zone,
+                    round(now - peer.last_message_at, 3),
+                )
                 for peer in self.book.peers_to_report(zone, now)
             },
             counts=self._counts(scope, now),
