--- a/packages/core/src/lacewingcourse/core/pipelines/crashes.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/crashes.py
@@ -13,7 +13,7 @@
 CRASH_THRESHOLD = 3
 #: Seconds for which a crash counts, and thus a refusal lasts.
 CRASH_RETENTION = 60.0
-#: Requests that are remembered at most.
+#: Requests that are remembered at most, of each scope.
 MAX_REQUESTS = 2_000
 #: Bytes of a fingerprint.
 FINGERPRINT_BYTES = 12
--- a/packages/core/src/lacewingcourse/core/pipelines/freshness.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/freshness.py
@@ -105,13 +105,12 @@
 class Freshness:
     """Age of knowledge that one entry reads and passes on to the others.
 
-    The first entries by rank read as soon as their knowledge is old. Each further entry
-    waits a little longer, so it reads only if those before it are silent or their reads
-    fail.
+    The entry of rank 0 reads at every opportunity. Each further one reads only once its
+    knowledge is older than an age that grows with its rank, that is, if those before it
+    are silent or their reads fail.
 
     Attributes:
-        takeover_age: Age in seconds at which the entries after the first read
-            themselves.
+        takeover_age: Age in seconds at which the entry of rank 1 reads itself.
         takeover_step: Seconds by which each further entry waits longer.
         max_age: Age in seconds at which an entry reads whatever its rank.
         confirmed_at: Last time at which the knowledge was confirmed to be the newest,
--- a/packages/core/src/lacewingcourse/core/pipelines/limit_sharing.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/limit_sharing.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Hashable
 
-#: Seconds after its last use in which an idle bucket is removed.
+#: Seconds for which an unused bucket is kept.
 BUCKET_RETENTION = 60.0
 #: Requests that a token bucket holds at most.
 BUCKET_CAPACITY = 1.0
--- a/packages/core/src/lacewingcourse/core/pipelines/peers.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/peers.py
@@ -52,16 +52,16 @@
         name: Its name.
         address: Its address for other entries.
         zone: Its availability zone, empty while unknown.
-        heard_at: When its last message arrived, seconds; minus infinity before the
-            first.
+        last_message_at: When this entry or a peer last received a message of it,
+            seconds; minus infinity before the first.
         known_since: When its address was learned, seconds.
         leaving: Whether it is shutting down.
         leaving_since: When it first reported that it is shutting down, None if it is
             not.
         ends_at: When it expects to have ended, as it reported, seconds; None if it did
             not report that.
-        returned_at: When it first reported to be running after a shutdown, seconds;
-            minus infinity if it was not shutting down.
+        returned_at: When its first message after a shutdown arrived, seconds; minus
+            infinity if it was not shutting down.
         reads: Whether the platform answers it, as it last reported.
     """
 
@@ -345,7 +345,7 @@
     def _hub_targets(
         self, hubs: dict[str, list[str]], near: list[str], now: float, urgent: bool
     ) -> list[Peer]:
-        """Return the entries that a hub contacts, all it can reach if it is urgent."""
+        """Return the entries that a hub contacts: other hubs in turn, all if urgent."""
         far = [n for zone, names in hubs.items() if zone != self.zone for n in names]
         if urgent:
             members = [n for n in self.alive(now) if self.zone_of(n) == self.zone]
--- a/packages/core/src/lacewingcourse/core/pipelines/permits.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/permits.py
@@ -29,9 +29,9 @@
 OWN_SHARE = 0.5
 #: Permits in one grant at most.
 MAX_PERMITS = 64
-#: Seconds after its last permit in which an endpoint's ledger is removed. Far longer
-#: than the time between two permits at the lowest rate, because a new ledger starts
-#: without permits to issue.
+#: Seconds for which a ledger is kept after its last permit. Far longer than the time
+#: between two permits at the lowest rate, because a new ledger starts without permits
+#: to issue.
 LEDGER_RETENTION = 60.0
 #: Bytes of the hash that ranks entries.
 RANK_BYTES = 8
--- a/packages/core/src/lacewingcourse/core/pipelines/restart_estimate.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/restart_estimate.py
@@ -16,11 +16,11 @@
 #: Seconds between two messages of an instance; its last one may precede its end by as
 #: much.
 GOSSIP_PERIOD = 0.2
-#: Seconds after its end in which an instance accepts connections again.
+#: Seconds after its end within which an instance accepts connections again.
 READY_AFTER = RESTART_TIME + STARTUP_TIME + GOSSIP_PERIOD
-#: Seconds after its return in which the balancer puts an instance into rotation. The
-#: balancer probes once a second; until then it may send callers to instances that are
-#: shutting down.
+#: Seconds after its return within which the balancer puts an instance into rotation.
+#: The balancer probes once a second; until then it may send callers to instances that
+#: are shutting down.
 ROTATION_TIME = 1.0
 #: Seconds to wait at least while no instance is known to be back: its first message has
 #: yet to arrive.
@@ -85,7 +85,7 @@
     """Return the instance expected to be ready first, None if none is expected.
 
     Args:
-        returns: Instances that restart.
+        restarts: Instances that restart.
         now: Present time in seconds.
     """
     pending = [each for each in restarts if each.ready_at + OVERDUE_TIME > now]
--- a/packages/core/src/lacewingcourse/core/pipelines/retry_budget.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/retry_budget.py
@@ -23,7 +23,7 @@
 LENT_SHARE = 0.5
 #: Seconds after the request for it in which a borrowed retry must be used.
 LOAN_LIFETIME = 1.0
-#: Seconds after its start in which an entry and the others have received messages of
+#: Seconds after its start by which an entry and the others have received messages of
 #: each other. At least `LOAN_LIFETIME`, so that loans to the previous process have
 #: expired.
 PEER_DISCOVERY_TIME = 3.0
--- a/packages/core/tests/pipelines/test_freshness.py
+++ b/packages/core/tests/pipelines/test_freshness.py
@@ -46,7 +46,7 @@
 
 
 def test_all_entries_read_soon_after_an_outage():
-    """All must know the result two seconds after the outage; a read takes a second."""
+    """All must know the result within two seconds; a read takes half of that."""
     _, first_reads = simulate_outage(backoff_delay)
     assert min(first_reads) <= MIN_RETRY_DELAY
     assert max(first_reads) <= MAX_RETRY_DELAY
