--- a/packages/core/tests/pipelines/test_peers.py
+++ b/packages/core/tests/pipelines/test_peers.py
@@ -13,10 +13,10 @@
 
 def table_of(name: str, others: str, last_message_at: float) -> PeerTable:
     """Return the table of an entry that received messages of others."""
-    book = PeerTable(name)
+    table = PeerTable(name)
     for other in others:
-        book.record_message(other, f"{other}:1", False, last_message_at)
-    return book
+        table.record_message(other, f"{other}:1", False, last_message_at)
+    return table
 
 
 def test_entries_are_ranked_by_name():
@@ -25,15 +25,15 @@
 
 
 def test_a_silent_entry_has_no_rank():
-    book = table_of("c", "ab", 0.0)
-    book.record_message("b", "b:1", False, PEER_SILENCE_TIMEOUT)
-    assert book.rank(PEER_SILENCE_TIMEOUT + 0.1) == 1
+    table = table_of("c", "ab", 0.0)
+    table.record_message("b", "b:1", False, PEER_SILENCE_TIMEOUT)
+    assert table.rank(PEER_SILENCE_TIMEOUT + 0.1) == 1
 
 
 def test_a_leaving_entry_has_no_rank():
-    book = table_of("b", "a", 0.0)
-    book.record_message("a", "a:1", True, 0.1)
-    assert book.rank(0.1) == 0
+    table = table_of("b", "a", 0.0)
+    table.record_message("a", "a:1", True, 0.1)
+    assert table.rank(0.1) == 0
 
 
 def test_only_one_of_two_entries_contacts_the_other():
@@ -41,14 +41,14 @@
 
 
 def test_a_silent_entry_is_contacted():
-    book = table_of("b", "ac", 0.0)
-    assert [p.name for p in book.gossip_targets(PEER_SILENCE_TIMEOUT)] == ["c", "a"]
+    table = table_of("b", "ac", 0.0)
+    assert [p.name for p in table.gossip_targets(PEER_SILENCE_TIMEOUT)] == ["c", "a"]
 
 
 def test_silent_entries_are_removed():
-    book = table_of("b", "a", 0.0)
-    book.expire(PEER_RETENTION + 1)
-    assert book.peers == {}
+    table = table_of("b", "a", 0.0)
+    table.expire(PEER_RETENTION + 1)
+    assert table.peers == {}
 
 
 def test_entries_after_the_first_read_once_their_knowledge_is_old():
@@ -85,25 +85,25 @@
 
 
 def test_callers_do_not_wait_while_one_entry_is_not_leaving():
-    book = table_of("a", "bc", 0.0)
-    book.record_message("b", "b:1", True, 0.1)
-    assert book.ready_in(8.0, now=0.2) == 0.0
+    table = table_of("a", "bc", 0.0)
+    table.record_message("b", "b:1", True, 0.1)
+    assert table.ready_in(8.0, now=0.2) == 0.0
 
 
 def test_callers_wait_for_the_entry_that_began_to_leave_first():
     """Callers sent back at once would reach entries that refuse them again."""
-    book = table_of("a", "bc", 0.0)
-    book.record_message("b", "b:1", True, 2.0)
-    book.record_message("c", "c:1", True, 4.0)
-    book.record_message("b", "b:1", True, 5.0)
-    assert book.ready_in(8.0, now=5.0) == 2.0 + 8.0 + READY_AFTER - 5.0
+    table = table_of("a", "bc", 0.0)
+    table.record_message("b", "b:1", True, 2.0)
+    table.record_message("c", "c:1", True, 4.0)
+    table.record_message("b", "b:1", True, 5.0)
+    assert table.ready_in(8.0, now=5.0) == 2.0 + 8.0 + READY_AFTER - 5.0
 
 
 def test_a_restarted_entry_is_not_leaving():
-    book = table_of("a", "b", 0.0)
-    book.record_message("b", "b:1", True, 2.0)
-    book.record_message("b", "b:1", False, 10.5)
-    assert book.ready_in(8.0, now=10.6) == 10.5 + ROTATION_TIME - 10.6
-    book.record_message("b", "b:1", False, 10.5 + ROTATION_TIME)
-    assert book.ready_in(8.0, now=10.5 + ROTATION_TIME) == 0.0
-    assert book.peers["b"].leaving_since is None
+    table = table_of("a", "b", 0.0)
+    table.record_message("b", "b:1", True, 2.0)
+    table.record_message("b", "b:1", False, 10.5)
+    assert table.ready_in(8.0, now=10.6) == 10.5 + ROTATION_TIME - 10.6
+    table.record_message("b", "b:1", False, 10.5 + ROTATION_TIME)
+    assert table.ready_in(8.0, now=10.5 + ROTATION_TIME) == 0.0
+    assert table.peers["b"].leaving_since is None
