--- a/packages/core/src/lacewingcourse/core/pipelines/crashes.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/crashes.py
@@ -6,21 +6,21 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.suspects import Reach
-
-#: Endpoints that must have been lost while they ran a request before it is refused.
-#: One or two are lost beside any request now and then.
-CRASHES_TO_REFUSE = 3
-#: Seconds for which a crash counts, and for which a refusal therefore lasts.
-CRASH_KEPT = 60.0
-#: Requests that are remembered at the most.
-MOST_REQUESTS = 2_000
+from lacewingcourse.core.pipelines.suspects import ObservationScope
+
+#: Distinct endpoints that must have been lost while running a request before it is
+#: refused. One or two may be lost by coincidence.
+CRASH_THRESHOLD = 3
+#: Seconds for which a crash counts, and thus a refusal lasts.
+CRASH_RETENTION = 60.0
+#: Requests that are remembered at most, of each scope.
+MAX_REQUESTS = 2_000
 #: Bytes of a fingerprint.
 FINGERPRINT_BYTES = 12
 
 
 def fingerprint_of(*fields: bytes) -> str:
-    """Return what identifies a request when its caller sends it again."""
+    """Return a digest that identifies a request when its caller repeats it."""
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
     for field in fields:
         digest.update(len(field).to_bytes(4))
@@ -29,89 +29,91 @@
 
 
 @attrs.define
-class CrashBook:
-    """Which endpoints were lost under which requests.
+class CrashHistory:
+    """Which endpoints were lost while they ran which requests.
 
-    Engines run requests beside one another, so a loss speaks against all that ran
-    there. A request is refused once distinct endpoints were lost under it; its
-    neighbours of one crash are other ones than those of the next.
+    Engines run requests concurrently, so a loss counts against all requests that ran
+    there. A request is refused once enough distinct endpoints were lost while running
+    it; the requests that run beside it differ from crash to crash.
 
     Attributes:
-        books: Times of the losses by fingerprint and endpoint, for those that this
-            entry saw, that one of its zone saw, and that others saw.
+        records: Times of the losses by fingerprint and endpoint, in seconds: those that
+            this entry saw, that one of its zone saw, and that others saw.
     """
 
-    books: dict[Reach, dict[str, dict[str, float]]] = attrs.field(
-        factory=lambda: {reach: {} for reach in Reach}
+    records: dict[ObservationScope, dict[str, dict[str, float]]] = attrs.field(
+        factory=lambda: {scope: {} for scope in ObservationScope}
     )
 
-    def strike(self, fingerprint: str, endpoint: str, now: float) -> bool:
-        """Note a loss under a request; tell whether it is refused from now on."""
-        _note(self.books[Reach.OWN], fingerprint, endpoint, now)
+    def record_loss(self, fingerprint: str, endpoint: str, now: float) -> bool:
+        """Record a loss while running a request; tell whether it is now refused."""
+        _record_loss(self.records[ObservationScope.OWN], fingerprint, endpoint, now)
         return self.is_refused(fingerprint, now)
 
     def clear(self, fingerprint: str) -> None:
-        """Forget a request that ran to its end."""
-        for book in self.books.values():
-            book.pop(fingerprint, None)
+        """Forget a request that completed."""
+        for record in self.records.values():
+            record.pop(fingerprint, None)
 
     def from_peer(
-        self, losses: dict[str, dict[str, float]], now: float, near: bool = True
+        self, losses: dict[str, dict[str, float]], now: float, same_zone: bool = True
     ) -> None:
-        """Take the losses that a peer told.
+        """Merge the losses that a peer reports.
 
         Args:
             losses: Seconds since each loss, by fingerprint and endpoint.
             now: Present time in seconds.
-            near: Whether an entry of this one's availability zone saw them.
+            same_zone: Whether an entry of this one's availability zone saw them.
         """
-        book = self.books[Reach.ZONE if near else Reach.ALL]
+        record = self.records[
+            ObservationScope.ZONE if same_zone else ObservationScope.ALL
+        ]
         for fingerprint, endpoints in losses.items():
             for endpoint, age in endpoints.items():
-                _note(book, fingerprint, endpoint, now - age)
+                _record_loss(record, fingerprint, endpoint, now - age)
 
     def is_refused(self, fingerprint: str, now: float) -> bool:
         """Tell whether a request is refused."""
-        return len(self._lost(fingerprint, now)) >= CRASHES_TO_REFUSE
+        return len(self._lost_endpoints(fingerprint, now)) >= CRASH_THRESHOLD
 
     def losses(
-        self, now: float, reach: Reach = Reach.OWN
+        self, now: float, scope: ObservationScope = ObservationScope.OWN
     ) -> dict[str, dict[str, float]]:
         """Return the seconds since each loss, by fingerprint and endpoint.
 
         Args:
             now: Present time in seconds.
-            reach: From how far away the losses may be.
+            scope: Widest scope of the losses to return.
         """
         found: dict[str, dict[str, float]] = {}
-        for seen, book in self.books.items():
-            for fingerprint, losses in book.items() if seen <= reach else ():
-                ages = {e: round(now - losses[e], 3) for e in _fresh(losses, now)}
+        for observed, record in self.records.items():
+            for fingerprint, losses in record.items() if observed <= scope else ():
+                ages = {e: round(now - losses[e], 3) for e in _recent(losses, now)}
                 if ages:
                     found.setdefault(fingerprint, {}).update(ages)
         return found
 
     def expire(self, now: float) -> None:
-        """Forget what counts no longer."""
-        for book in self.books.values():
-            for fingerprint, losses in list(book.items()):
-                if not _fresh(losses, now):
-                    del book[fingerprint]
+        """Remove requests without a recent loss."""
+        for record in self.records.values():
+            for fingerprint, losses in list(record.items()):
+                if not _recent(losses, now):
+                    del record[fingerprint]
 
-    def _lost(self, fingerprint: str, now: float) -> set[str]:
-        books = self.books.values()
-        return set().union(*(_fresh(b.get(fingerprint, {}), now) for b in books))
+    def _lost_endpoints(self, fingerprint: str, now: float) -> set[str]:
+        records = self.records.values()
+        return set().union(*(_recent(b.get(fingerprint, {}), now) for b in records))
 
 
-def _note(
-    book: dict[str, dict[str, float]], fingerprint: str, endpoint: str, now: float
+def _record_loss(
+    record: dict[str, dict[str, float]], fingerprint: str, endpoint: str, now: float
 ) -> None:
-    """Note a loss, and bound what is remembered."""
-    book.setdefault(fingerprint, {}).setdefault(endpoint, now)
-    while len(book) > MOST_REQUESTS:
-        del book[next(iter(book))]
+    """Record the first loss of an endpoint, and evict the oldest requests."""
+    record.setdefault(fingerprint, {}).setdefault(endpoint, now)
+    while len(record) > MAX_REQUESTS:
+        del record[next(iter(record))]
 
 
-def _fresh(losses: dict[str, float], now: float) -> set[str]:
+def _recent(losses: dict[str, float], now: float) -> set[str]:
     """Return the endpoints whose loss still counts."""
-    return {endpoint for endpoint, at in losses.items() if now - at < CRASH_KEPT}
+    return {endpoint for endpoint, at in losses.items() if now - at < CRASH_RETENTION}
--- a/packages/core/src/lacewingcourse/core/pipelines/peers.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/peers.py
@@ -1,4 +1,4 @@
-"""Other entries: which are alive, who speaks with whom, and who reads for the rest."""
+"""Membership of the other entries: liveness, gossip targets and reader ranks."""
 
 from __future__ import annotations
 
@@ -7,35 +7,37 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.ending import (
-    NEWS_PERIOD,
+from lacewingcourse.core.pipelines.restart_estimate import (
+    GOSSIP_PERIOD,
     ROTATION_TIME,
-    Return,
-    first_back,
+    Restart,
+    first_ready,
 )
 
-#: Seconds after which an entry that was not heard is taken to be gone. Entries speak
-#: several times a second; a freeze or a cut of a second must not be missed by all.
-PEER_SILENT = 1.2
+#: Seconds without a message after which an entry counts as gone. Entries exchange
+#: messages several times a second; a shorter timeout would make all peers drop an entry
+#: that freezes or is cut off for a second.
+PEER_SILENCE_TIMEOUT = 1.2
 #: Seconds for which the address of a silent entry is still tried.
-PEER_FORGOTTEN = 20.0
-#: Entries up to which each speaks with every other one. Loads then arrive within one
-#: round; the messages of a round grow with the square of the entries.
-FULL_MESH = 9
-#: Entries that one speaks to in a round at the most.
-MOST_PEERS = FULL_MESH - 1
-#: Entries of an availability zone that speak for it. Two, so that the loss of one is
-#: noticed by nobody.
+PEER_RETENTION = 20.0
+#: Largest number of entries at which each one exchanges messages with every other one.
+#: Loads then arrive within one round, but the messages of a round grow with the square
+#: of the entries.
+MAX_FULL_MESH = 9
+#: Entries that one contacts in a round at most.
+MAX_PEERS_PER_ROUND = MAX_FULL_MESH - 1
+#: Hubs of an availability zone: entries that exchange messages with other zones. With
+#: two, the loss of one goes unnoticed.
 HUBS_PER_ZONE = 2
-#: Silent entries that are tried in one round of a large deployment.
-MOST_SILENT = 2
-#: Rank from which those count that are no hubs. Above the hubs of today's zones, so
-#: that they read the platform only when all hubs have fallen silent.
+#: Silent entries that are probed in one round of a large deployment.
+MAX_SILENT_PER_ROUND = 2
+#: Lowest rank of an entry that is no hub. The hubs of four availability zones rank
+#: below it, so members there read from the platform only when all hubs are silent.
 MEMBER_RANK = 8
 
 
 class Role(Enum):
-    """How an entry takes part in the exchange between entries."""
+    """Part that an entry has in the exchange between entries."""
 
     EQUAL = "equal"
     HUB = "hub"
@@ -48,91 +50,96 @@
 
     Attributes:
         name: Its name.
-        address: Address for entries.
+        address: Its address for other entries.
         zone: Its availability zone, empty while unknown.
-        heard_at: When it was last heard, seconds; minus infinity before.
-        known_since: When its address was learned.
-        leaving: Whether it is ending.
-        leaving_since: When it was first heard to be ending, None if it is not.
-        ends_at: When it told that it is expected to have ended, None if it did not.
-        back_since: When it was first heard again after it had been ending, minus
-            infinity if it was not ending.
-        reads: Whether the platform answers it, as far as it told.
+        last_message_at: When this entry or a peer last received a message of it,
+            seconds; minus infinity before the first.
+        known_since: When its address was learned, seconds.
+        leaving: Whether it is shutting down.
+        leaving_since: When it first reported that it is shutting down, None if it is
+            not.
+        ends_at: When it expects to have ended, as it reported, seconds; None if it did
+            not report that.
+        returned_at: When its first message after a shutdown arrived, seconds; minus
+            infinity if it was not shutting down.
+        reads: Whether the platform answers it, as it last reported.
     """
 
     name: str
     address: str
     zone: str = ""
-    heard_at: float = float("-inf")
+    last_message_at: float = float("-inf")
     known_since: float = 0.0
     leaving: bool = False
     leaving_since: float | None = None
     ends_at: float | None = None
-    back_since: float = float("-inf")
+    returned_at: float = float("-inf")
     reads: bool = True
 
-    def note_back(self, heard_at: float) -> None:
-        """Note that it was heard when it was not ending."""
+    def mark_alive(self, last_message_at: float) -> None:
+        """Record that it was alive and not shutting down at a time."""
         if self.leaving:
-            self.back_since = heard_at
-        self.heard_at = heard_at
+            self.returned_at = last_message_at
+        self.last_message_at = last_message_at
         self.leaving = False
         self.leaving_since = self.ends_at = None
 
-    def note_ending(self, ends_in: float | None, now: float) -> None:
-        """Note that it was heard to be ending.
+    def mark_leaving(self, ends_in: float | None, now: float) -> None:
+        """Record a message in which it reports to be shutting down.
 
         Args:
-            ends_in: Seconds until it expects to have ended, None if it does not tell.
+            ends_in: Seconds until it expects to have ended, None if it does not report
+                that.
             now: Present time in seconds.
         """
-        self.heard_at = now
+        self.last_message_at = now
         self.leaving = True
         self.ends_at = None if ends_in is None else now + ends_in
         if self.leaving_since is None:
             self.leaving_since = now
 
-    def ended_by(self, grace: float, now: float) -> float:
+    def expected_end_time(self, grace: float, now: float) -> float:
         """Return when it is expected to have ended, seconds.
 
-        One that fell silent while ending has ended with its last word.
+        One that falls silent while shutting down is taken to have ended within a gossip
+        period of its last message.
 
         Args:
-            grace: Seconds in which an entry that is ending must have ended.
+            grace: Seconds in which an entry that is shutting down must have ended.
             now: Present time in seconds.
         """
-        told = self.ends_at
-        if told is None:
-            told = self.leaving_since + grace
-        if now - self.heard_at <= PEER_SILENT:
-            return told
-        return min(told, self.heard_at + NEWS_PERIOD)
+        ends_at = self.ends_at
+        if ends_at is None:
+            ends_at = self.leaving_since + grace
+        if now - self.last_message_at <= PEER_SILENCE_TIMEOUT:
+            return ends_at
+        return min(ends_at, self.last_message_at + GOSSIP_PERIOD)
 
 
 @attrs.define
-class PeerBook:
+class PeerTable:
     """The other entries that are known.
 
-    A few entries all speak with one another. Many speak through hubs: each one with
-    the hubs of its zone, and hubs with those of the other zones, so that the messages
-    of an entry do not grow with the deployment.
+    A few entries form a full mesh. Many communicate through hubs: each entry with the
+    hubs of its zone, and hubs with those of the other zones, so that the messages of an
+    entry do not grow with the deployment.
 
     Attributes:
         name: Name of this entry.
         zone: Its availability zone.
         peers: Others by name.
-        counts: Entries alive in each other zone, as its hubs told.
-        turn: Rounds so far.
+        counts: Entries alive in each other zone, as reported by its hubs.
+        round_count: Gossip rounds so far; it selects whose turn it is.
     """
 
     name: str
     zone: str = ""
     peers: dict[str, Peer] = attrs.field(factory=dict)
     counts: dict[str, int] = attrs.field(factory=dict)
-    turn: int = 0
+    round_count: int = 0
 
-    def learn(self, name: str, address: str, now: float, zone: str = "") -> None:
-        """Take the address of an entry."""
+    def set_address(self, name: str, address: str, now: float, zone: str = "") -> None:
+        """Add an entry, or update its address or availability zone."""
         if name == self.name:
             return
         known = self.peers.get(name)
@@ -141,7 +148,7 @@
         elif zone:
             known.zone = zone
 
-    def hear(
+    def record_message(
         self,
         name: str,
         address: str,
@@ -151,89 +158,98 @@
         ends_in: float | None = None,
         reads: bool = True,
     ) -> None:
-        """Note that an entry was heard.
+        """Record a message of an entry.
 
         Args:
             name: Its name.
-            address: Its address for entries.
-            leaving: Whether it is ending.
+            address: Its address for other entries.
+            leaving: Whether it is shutting down.
             now: Present time in seconds.
             zone: Its availability zone, empty if unknown.
-            ends_in: Seconds until it expects to have ended, None if it does not tell.
+            ends_in: Seconds until it expects to have ended, None if it does not report
+                that.
             reads: Whether the platform answers it.
         """
         if name == self.name:
             return
-        self.learn(name, address, now, zone)
+        self.set_address(name, address, now, zone)
         peer = self.peers[name]
         peer.reads = reads
         if leaving:
-            peer.note_ending(ends_in, now)
+            peer.mark_leaving(ends_in, now)
         else:
-            peer.note_back(now)
+            peer.mark_alive(now)
 
-    def hear_of(
+    def record_report(
         self, name: str, address: str, zone: str, age: float, now: float
     ) -> None:
-        """Note that another entry heard an entry some seconds ago.
+        """Record that a peer received a message of an entry some seconds ago.
 
-        The age does not count the way of the message, so the word of an ending entry
-        itself is believed as long as it is heard.
+        The age leaves out the time that the report took to arrive. A late report must
+        not mark an entry as running again, so while its own messages arrive, an entry
+        that is shutting down stays so until it reports otherwise itself.
+
+        Args:
+            name: Name of the entry.
+            address: Its address for other entries.
+            zone: Its availability zone, empty if unknown.
+            age: Seconds since the peer received the message.
+            now: Present time in seconds.
         """
         if name == self.name:
             return
-        self.learn(name, address, now, zone)
+        self.set_address(name, address, now, zone)
         known = self.peers[name]
-        if known.leaving and now - known.heard_at <= PEER_SILENT:
+        if known.leaving and now - known.last_message_at <= PEER_SILENCE_TIMEOUT:
             return
-        if known.heard_at < now - age:
-            known.note_back(now - age)
+        if known.last_message_at < now - age:
+            known.mark_alive(now - age)
 
     def alive(self, now: float) -> list[str]:
-        """Return the names of the entries known to be alive, this one among them."""
-        heard = [
+        """Return the names of the entries known to be alive, this one included."""
+        reachable = [
             peer.name
             for peer in self.peers.values()
-            if now - peer.heard_at <= PEER_SILENT and not peer.leaving
+            if now - peer.last_message_at <= PEER_SILENCE_TIMEOUT and not peer.leaving
         ]
-        return sorted([self.name, *heard])
+        return sorted([self.name, *reachable])
 
-    def first_back(
+    def first_ready(
         self, grace: float, now: float, own_end: float | None = None
-    ) -> Return | None:
-        """Return the entry that callers are sent to first, None if they are to one.
+    ) -> Restart | None:
+        """Return the entry that callers will be sent to first, None if one serves now.
 
         Args:
-            grace: Seconds in which an entry that is ending must have ended.
+            grace: Seconds in which an entry that is shutting down must have ended.
             now: Present time in seconds.
             own_end: When this entry is expected to have ended, None if it is not
-                ending.
+                shutting down.
         """
         alive = [self.peers[name] for name in self.alive(now) if name != self.name]
-        if any(now - peer.back_since >= ROTATION_TIME for peer in alive):
+        if any(now - peer.returned_at >= ROTATION_TIME for peer in alive):
             return None
         if alive:
-            first = min(alive, key=lambda peer: peer.back_since)
-            return Return(first.name, first.back_since, first.back_since)
-        returns = [
-            Return(peer.name, peer.ended_by(grace, now))
+            first = min(alive, key=lambda peer: peer.returned_at)
+            return Restart(first.name, first.returned_at, first.returned_at)
+        restarts = [
+            Restart(peer.name, peer.expected_end_time(grace, now))
             for peer in self.peers.values()
             if peer.leaving_since is not None
         ]
         if own_end is not None:
-            returns.append(Return(self.name, own_end))
-        return first_back(returns, now) or Return(self.name, now)
+            restarts.append(Restart(self.name, own_end))
+        return first_ready(restarts, now) or Restart(self.name, now)
 
     def ready_in(self, grace: float, now: float, own_end: float | None = None) -> float:
-        """Return the seconds until an entry is expected to take connections.
+        """Return the seconds until an entry is expected to accept connections.
 
         Args:
-            grace: Seconds in which an entry that is ending must have ended.
+            grace: Seconds in which an entry that is shutting down must have ended.
             now: Present time in seconds.
             own_end: When this entry is expected to have ended, None if it is not
-                ending.
+                shutting down.
         """
-        first = self.first_back(grace, now, own_end)
+        first = self.first_ready(grace, now, own_end)
         return first.wait(now) if first is not None else 0.0
 
     def zone_of(self, name: str) -> str:
@@ -244,13 +260,13 @@
         return peer.zone if peer is not None else ""
 
     def count(self, now: float) -> int:
-        """Return how many entries are alive, as far as is known."""
+        """Return the number of entries known to be alive, this one included."""
         alive = self.alive(now)
         near = sum(self.zone_of(name) == self.zone for name in alive)
         return max(len(alive), near + sum(self.counts.values()))
 
     def hubs(self, now: float) -> dict[str, list[str]]:
-        """Return the entries that speak for each availability zone."""
+        """Return the hubs of each availability zone."""
         found: dict[str, list[str]] = defaultdict(list)
         for name in self.alive(now):
             members = found[self.zone_of(name)]
@@ -259,20 +275,20 @@
         return found
 
     def coordinators(self, now: float) -> set[str]:
-        """Return the entries alive that all others know, at least one."""
-        if self.count(now) <= FULL_MESH:
+        """Return the live entries that all others know, at least one."""
+        if self.count(now) <= MAX_FULL_MESH:
             return set(self.alive(now))
         return {name for names in self.hubs(now).values() for name in names}
 
     def role(self, now: float) -> Role:
-        """Return how this entry takes part in the exchange."""
-        if self.count(now) <= FULL_MESH:
+        """Return the part that this entry has in the exchange."""
+        if self.count(now) <= MAX_FULL_MESH:
             return Role.EQUAL
         is_hub = self.name in self.hubs(now)[self.zone]
         return Role.HUB if is_hub else Role.MEMBER
 
     def rank(self, now: float) -> int:
-        """Return how many entries alive come before this one."""
+        """Return how many live entries rank before this one."""
         role = self.role(now)
         if role is Role.MEMBER:
             near = [n for n in self.alive(now) if self.zone_of(n) == self.zone]
@@ -280,9 +296,9 @@
         return self._coordinators_in_order(now).index(self.name)
 
     def reader_rank(self, now: float, reads: bool) -> int:
-        """Return how many entries alive read the platform before this one.
+        """Return how many live entries read from the platform before this one.
 
-        Those come last that the platform does not answer.
+        Entries that the platform does not answer rank last.
 
         Args:
             now: Present time in seconds.
@@ -298,76 +314,81 @@
         return order.index(self.name)
 
     def _coordinators_in_order(self, now: float) -> list[str]:
-        """Return the entries alive that all others know, in order of their rank."""
-        if self.count(now) <= FULL_MESH:
+        """Return the live entries that all others know, in order of their rank."""
+        if self.count(now) <= MAX_FULL_MESH:
             return self.alive(now)
         hubs = self.hubs(now).values()
         order = sorted((names.index(n), n) for names in hubs for n in names)
         return [name for _, name in order]
 
-    def partners(self, now: float, urgent: bool = False) -> list[Peer]:
-        """Return the entries to speak to in this round.
+    def gossip_targets(self, now: float, urgent: bool = False) -> list[Peer]:
+        """Return the entries to contact in this round.
 
-        Of two entries one speaks and the other answers, but for one that has gone
-        silent, which both try.
+        Of two entries one sends and the other answers, except where one has gone
+        silent: then both send.
 
         Args:
             now: Present time in seconds.
-            urgent: Whether there is something that everybody must know at once.
+            urgent: Whether there is news that all entries must receive at once.
         """
-        self.turn += 1
+        self.round_count += 1
         role = self.role(now)
         if role is Role.EQUAL:
-            return self._following(sorted(self.peers), now)[:MOST_PEERS]
+            return self._peers_after(sorted(self.peers), now)[:MAX_PEERS_PER_ROUND]
         hubs = self.hubs(now)
         near = [name for name in hubs[self.zone] if name != self.name]
         if role is Role.MEMBER:
-            spoken = near if urgent else self._in_turn(near, 1)
-            return [self.peers[name] for name in spoken] + self._tried(now)
-        return self._partners_of_hub(hubs, near, now, urgent)
+            targets = near if urgent else self._rotate(near, 1)
+            return [self.peers[name] for name in targets] + self._silent_to_probe(now)
+        return self._hub_targets(hubs, near, now, urgent)
 
-    def _partners_of_hub(
+    def _hub_targets(
         self, hubs: dict[str, list[str]], near: list[str], now: float, urgent: bool
     ) -> list[Peer]:
-        """Return whom a hub speaks to: far hubs in turn, and all if it is urgent."""
+        """Return the entries that a hub contacts: other hubs in turn, all if urgent."""
         far = [n for zone, names in hubs.items() if zone != self.zone for n in names]
         if urgent:
             members = [n for n in self.alive(now) if self.zone_of(n) == self.zone]
             names = {*near, *far, *members} - {self.name}
             return [self.peers[name] for name in sorted(names)]
-        following = [peer.name for peer in self._following(sorted(far), now)]
-        spoken = near + self._in_turn(following, MOST_PEERS)
-        return [self.peers[name] for name in spoken] + self._tried(now)
+        following = [peer.name for peer in self._peers_after(sorted(far), now)]
+        targets = near + self._rotate(following, MAX_PEERS_PER_ROUND)
+        return [self.peers[name] for name in targets] + self._silent_to_probe(now)
 
-    def _following(self, names: list[str], now: float) -> list[Peer]:
-        """Return those after this one in order of names, and silent ones before it."""
+    def _peers_after(self, names: list[str], now: float) -> list[Peer]:
+        """Return those after this one by name, and the silent ones before it."""
         after = [self.peers[n] for n in names if n > self.name]
         before = [self.peers[n] for n in names if n < self.name]
-        return after + [p for p in before if now - p.heard_at > PEER_SILENT / 2]
+        return after + [
+            p for p in before if now - p.last_message_at > PEER_SILENCE_TIMEOUT / 2
+        ]
 
-    def _in_turn(self, names: list[str], count: int) -> list[str]:
-        """Return some of the names, others in the next round."""
+    def _rotate(self, names: list[str], count: int) -> list[str]:
+        """Return some of the names, different ones in the next round."""
         if len(names) <= count:
             return names
-        start = self.turn * count % len(names)
+        start = self.round_count * count % len(names)
         return (names[start:] + names[:start])[:count]
 
-    def _tried(self, now: float) -> list[Peer]:
-        """Return silent entries to be tried again, others in the next round.
+    def _silent_to_probe(self, now: float) -> list[Peer]:
+        """Return silent entries to probe, different ones in the next round.
 
-        Those of other zones are heard through their hubs, so they are silent here and
-        left alone, unless nobody of their zone is heard.
+        Entries of other zones are silent here because their messages go through hubs;
+        they are probed only while no entry of their zone is heard from.
         """
-        heard = {self.zone_of(name) for name in self.alive(now)} - {self.zone, ""}
+        reachable = {self.zone_of(name) for name in self.alive(now)} - {self.zone, ""}
         silent = [
             peer.name
             for peer in self.peers.values()
-            if now - peer.heard_at > PEER_SILENT and peer.zone not in heard
+            if now - peer.last_message_at > PEER_SILENCE_TIMEOUT
+            and peer.zone not in reachable
+        ]
+        return [
+            self.peers[n] for n in self._rotate(sorted(silent), MAX_SILENT_PER_ROUND)
         ]
-        return [self.peers[n] for n in self._in_turn(sorted(silent), MOST_SILENT)]
 
-    def told_to(self, zone: str, now: float) -> list[Peer]:
-        """Return the entries alive that one of an availability zone needs to know."""
+    def peers_to_report(self, zone: str, now: float) -> list[Peer]:
+        """Return the live entries that one of an availability zone needs to know."""
         alive = [self.peers[name] for name in self.alive(now) if name != self.name]
         if self.role(now) is Role.EQUAL:
             return alive
@@ -375,9 +396,9 @@
         return [peer for peer in alive if peer.zone == zone or peer.name in hubs]
 
     def expire(self, now: float) -> None:
-        """Forget entries that have been silent for long."""
+        """Remove entries that have been silent for a long time."""
         for peer in list(self.peers.values()):
-            if now - max(peer.heard_at, peer.known_since) > PEER_FORGOTTEN:
+            if now - max(peer.last_message_at, peer.known_since) > PEER_RETENTION:
                 del self.peers[peer.name]
         zones = {peer.zone for peer in self.peers.values()}
         self.counts = {z: n for z, n in self.counts.items() if z in zones}
--- a/packages/core/tests/pipelines/limit_fleet.py
+++ b/packages/core/tests/pipelines/limit_fleet.py
@@ -1,4 +1,4 @@
-"""Entries that share the limit of one endpoint, with a clock and messages of a test."""
+"""Simulated entries that share the limit of one endpoint, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 import attrs
 
 from lacewingcourse.core.pipelines.limit_sharing import (
-    LIMIT_SHARINGS,
+    LIMIT_SHARING_POLICIES,
     PermitSharing,
 )
-from lacewingcourse.core.pipelines.peers import PEER_SILENT
+from lacewingcourse.core.pipelines.peers import PEER_SILENCE_TIMEOUT
 from lacewingcourse.core.pipelines.permits import Grant, PermitIssuer, issuer_of
 from lacewingcourse.core.pipelines.send_limits import SendLimits
 from lacewingcourse.testing.limit_check import LimitCheck
@@ -21,25 +21,25 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: The endpoint.
+#: The limited endpoint.
 ENDPOINT = "a"
-#: Seconds that a message takes at the most, and a connection to the endpoint.
-DELAY = 0.01
-CONNECTING = 0.005
-#: Seconds after which a request that waits looks again.
-LOOK_AGAIN = 0.03
-#: Seconds within which all entries know of what the endpoint names.
-SPREADING = 0.4
-#: Seconds without an answer after which one is not waited for any more, and after
-#: which it is asked for again.
-UNANSWERED = 0.6
+#: Seconds that a message takes at most, and seconds to connect to the endpoint.
+MAX_MESSAGE_DELAY = 0.01
+CONNECT_TIME = 0.005
+#: Seconds after which a waiting request is tried again.
+RETRY_PERIOD = 0.03
+#: Seconds within which all entries learn of a limit that the endpoint advertises.
+PROPAGATION_TIME = 0.4
+#: Seconds after which an entry gives up on an unanswered demand, and after which it
+#: repeats it.
+ANSWER_TIMEOUT = 0.6
 UNANSWERED_RETRY = 0.2
-#: Seconds after its start by which an entry has heard of the others and they of it.
-HEARD_AFTER = 0.2
-#: Seconds between two rounds in which entries forget what is over.
-HOUSEKEEPING = 0.25
-#: When the limit is named, seconds.
-NAMED_AT = 6.0
+#: Seconds after its start in which an entry and the others know of each other.
+DISCOVERY_TIME = 0.2
+#: Seconds between two removals of expired state.
+EXPIRY_PERIOD = 0.25
+#: When the endpoint advertises its limit, seconds.
+ADVERTISED_AT = 6.0
 
 
 @attrs.define
@@ -49,9 +49,9 @@
     Attributes:
         name: Its name.
         limits: What it may send.
-        issuer: What it gives out.
-        alive: Names of the entries that it knows to be alive, itself among them.
-        asking: Whether it waits for an answer.
+        issuer: Issuer of the permits that it grants.
+        alive: Names of the entries that it knows to be alive, including itself.
+        is_waiting: Whether it waits for the answer to a demand.
         is_up: Whether its process runs.
     """
 
@@ -59,18 +59,18 @@
     limits: SendLimits
     issuer: PermitIssuer
     alive: list[str]
-    asking: bool = False
+    is_waiting: bool = False
     is_up: bool = True
 
 
 class LimitFleet:
-    """Entries before an endpoint, with callers that all want it.
+    """Entries in front of an endpoint whose callers all use that endpoint.
 
     Attributes:
         now: Present time in seconds.
         entries: The entries by name.
-        check: What the endpoint got.
-        sent: Times at which requests were sent under the limit.
+        check: Checks the requests that the endpoint received.
+        sent: Times at which requests were sent, seconds.
     """
 
     def __init__(
@@ -80,161 +80,179 @@
         limit: float,
         seed: int,
         load: float = 3.5,
-        patience: float = 0.0,
+        max_wait: float = 0.0,
     ) -> None:
-        """Make entries whose callers want more than the endpoint takes.
+        """Create entries whose callers want more than the endpoint takes.
 
         Args:
-            sharing: How they share its limit.
+            sharing: Name of the policy by which they share its limit.
             entries: How many there are.
-            limit: Requests a second that it will name.
-            seed: Source of all draws.
-            load: Times the limit that callers want.
-            patience: Seconds for which a request waits that may not be sent at once.
+            limit: Requests per second that the endpoint will advertise.
+            seed: Seed of the random numbers.
+            load: Offered load as a multiple of the limit.
+            max_wait: Seconds for which a request waits that may not be sent at once.
         """
         self.rng = Random(seed)
         self.now = 0.0
         self.limit = limit
         self.load = load * limit
-        self.patience = patience
-        self.check = LimitCheck(limit, NAMED_AT)
+        self.max_wait = max_wait
+        self.check = LimitCheck(limit, ADVERTISED_AT)
         self.sent: list[float] = []
         self.events: list = []
         self.order = count()
         names = [f"e{number:02}" for number in range(entries)]
-        self.entries = {name: self.make(name, sharing, names) for name in names}
-        # Callers are spread unevenly over the entries.
+        self.entries = {name: self.make_entry(name, sharing, names) for name in names}
+        # The load differs between entries.
         self.weights = [self.rng.random() ** 2 + 0.05 for _ in names]
-        self.at(0.0, self.ask_for_one)
-        self.at(0.0, self.keep_house)
-        self.at(NAMED_AT, self.name)
+        self.schedule(0.0, self.generate_request)
+        self.schedule(0.0, self.expire_state)
+        self.schedule(ADVERTISED_AT, self.advertise)
 
-    def make(self, name: str, sharing: str, names: list[str]) -> LimitedEntry:
+    def make_entry(self, name: str, sharing: str, names: list[str]) -> LimitedEntry:
         """Return an entry that has just started."""
-        limits = SendLimits(sharing=LIMIT_SHARINGS.get(sharing)())
+        limits = SendLimits(sharing=LIMIT_SHARING_POLICIES.get(sharing)())
         limits.sharing.entries = len(names)
         issuer = PermitIssuer(f"{name}#{self.now}")
         return LimitedEntry(name, limits, issuer, list(names))
 
-    def at(self, time: float, call: Callable[[], None]) -> None:
-        """Let something happen at some time."""
+    def schedule(self, time: float, call: Callable[[], None]) -> None:
+        """Schedule a call."""
         heapq.heappush(self.events, (time, next(self.order), call))
 
-    def play(self, until: float) -> None:
-        """Play until some time."""
+    def run_until(self, until: float) -> None:
+        """Run the simulation until a time."""
         while self.events[0][0] <= until:
             self.now, _, call = heapq.heappop(self.events)
             call()
         self.now = until
 
-    def name(self, limit: float | None = None) -> None:
-        """Let the endpoint name its limit, or another one."""
+    def advertise(self, limit: float | None = None) -> None:
+        """Make the endpoint advertise its limit, or another one."""
         named = self.limit if limit is None else limit
         observed_at = self.now
         for entry in self.entries.values():
-            self.at(
-                self.now + self.rng.uniform(0, SPREADING),
-                lambda entry=entry: self.learn(entry, named, observed_at),
+            self.schedule(
+                self.now + self.rng.uniform(0, PROPAGATION_TIME),
+                lambda entry=entry: self.observe_limit(entry, named, observed_at),
             )
 
-    def learn(self, entry: LimitedEntry, named: float, observed_at: float) -> None:
-        """Let an entry learn of a limit, which it passes on to a caller."""
+    def observe_limit(
+        self, entry: LimitedEntry, named: float, observed_at: float
+    ) -> None:
+        """Make an entry observe a limit in an answer, and pass it on to a caller."""
         entry.limits.table.observe(ENDPOINT, named, observed_at + 1e-6, self.now)
         self.check.pass_on(entry.name, self.now)
-        self.ask_issuer(entry)
+        self.request_permits(entry)
 
-    def ask_for_one(self) -> None:
-        """Let a caller send a request to some entry."""
-        self.at(self.now + self.rng.expovariate(self.load), self.ask_for_one)
+    def generate_request(self) -> None:
+        """Send the request of a caller to a random entry, and schedule the next one."""
+        self.schedule(self.now + self.rng.expovariate(self.load), self.generate_request)
         (name,) = self.rng.choices(list(self.entries), self.weights)
         if self.entries[name].is_up:
-            until = self.now + self.patience
+            until = self.now + self.max_wait
             self.try_to_send(self.entries[name], object(), until)
 
     def try_to_send(self, entry: LimitedEntry, request: object, until: float) -> None:
-        """Let an entry send a request, now or a little later."""
+        """Make an entry send a request, now or within the time it may wait."""
         if entry.limits.hold(ENDPOINT, request, self.now):
-            self.at(self.now + CONNECTING, lambda: self.send(entry, request))
-        elif self.now + LOOK_AGAIN <= until:
-            again = self.now + LOOK_AGAIN
-            self.at(again, lambda: self.try_to_send(entry, request, until))
-        self.ask_issuer(entry)
+            self.schedule(self.now + CONNECT_TIME, lambda: self.send(entry, request))
+        elif self.now + RETRY_PERIOD <= until:
+            again = self.now + RETRY_PERIOD
+            self.schedule(again, lambda: self.try_to_send(entry, request, until))
+        self.request_permits(entry)
 
     def send(self, entry: LimitedEntry, request: object) -> None:
-        """Send a request, if that is still allowed."""
+        """Send a request if it is still allowed."""
         if entry.is_up and entry.limits.take(ENDPOINT, request, self.now):
             self.check.arrivals.append((self.now, entry.name))
             self.sent.append(self.now)
 
-    def ask_issuer(self, entry: LimitedEntry) -> None:
-        """Let an entry ask for the permits that it lacks."""
+    def request_permits(self, entry: LimitedEntry) -> None:
+        """Make an entry request the permits that it is missing."""
         sharing = entry.limits.sharing
-        if not isinstance(sharing, PermitSharing) or entry.asking:
+        if not isinstance(sharing, PermitSharing) or entry.is_waiting:
             return
         rate = entry.limits.table.rate(ENDPOINT, self.now)
         issuer = issuer_of(ENDPOINT, entry.alive)
         demand = sharing.demand(entry.name, ENDPOINT, issuer, rate, self.now)
         if demand is None or ENDPOINT not in entry.limits.table.members:
             return
-        entry.asking = True
-        asked_at = self.now
-        there = self.now + (0 if issuer == entry.name else self.delay())
-        self.at(there, lambda: self.answer(entry, issuer, demand, asked_at))
+        entry.is_waiting = True
+        requested_at = self.now
+        arrives = self.now + (0 if issuer == entry.name else self.delay())
+        self.schedule(
+            arrives, lambda: self.answer_demand(entry, issuer, demand, requested_at)
+        )
+
+    def answer_demand(self, entry, issuer, demand, requested_at) -> None:
+        """Answer a demand.
 
-    def answer(self, entry, issuer, demand, asked_at) -> None:
-        """Let an issuer answer; one that takes another one for it gives nothing."""
+        An entry that takes another one for the issuer grants nothing.
+        """
         other = self.entries[issuer]
         if not other.is_up:
             nothing = Grant("", (), UNANSWERED_RETRY)
-            later = self.now + UNANSWERED
-            self.at(later, lambda: self.take(entry, nothing, issuer, asked_at))
+            later = self.now + ANSWER_TIMEOUT
+            self.schedule(
+                later, lambda: self.accept_grant(entry, nothing, issuer, requested_at)
+            )
             return
         back = self.now + (0 if issuer == entry.name else self.delay())
         if issuer_of(ENDPOINT, other.alive) != issuer:
-            self.at(back, lambda: self.end_asking(entry))
+            self.schedule(back, lambda: self.finish_demand(entry))
             return
         own = issuer == entry.name and len(other.alive) > 1
         rate = entry.limits.table.rate(ENDPOINT, self.now)
         grant = other.issuer.grant(ENDPOINT, demand, rate, self.now, own)
-        self.at(back, lambda: self.take(entry, grant, issuer, asked_at))
+        self.schedule(
+            back, lambda: self.accept_grant(entry, grant, issuer, requested_at)
+        )
 
-    def take(self, entry, grant, issuer, asked_at) -> None:
-        """Let an entry take what an issuer gave."""
+    def accept_grant(self, entry, grant, issuer, requested_at) -> None:
+        """Make an entry accept a grant."""
         sharing, draw = entry.limits.sharing, self.rng.random()
-        sharing.take(ENDPOINT, grant, issuer, asked_at, self.now, draw)
-        self.end_asking(entry)
+        sharing.accept_grant(ENDPOINT, grant, issuer, requested_at, self.now, draw)
+        self.finish_demand(entry)
 
-    def end_asking(self, entry) -> None:
-        """Let an entry ask again."""
-        entry.asking = False
+    def finish_demand(self, entry) -> None:
+        """Allow an entry to send another demand."""
+        entry.is_waiting = False
 
-    def restart(self, name: str, away: float) -> None:
-        """End an entry now, and start it again after some seconds."""
+    def restart(self, name: str, downtime: float) -> None:
+        """End an entry now and start it again later.
+
+        Args:
+            name: Name of the entry.
+            downtime: Seconds between its end and its start.
+        """
         old = self.entries[name]
         old.is_up = False
-        self.check.excuse(name, self.now, self.now + away)
-        self.at(self.now + PEER_SILENT, lambda: self.notice(name, False))
-        self.at(self.now + away, lambda: self.come_back(name))
-
-    def come_back(self, name: str) -> None:
-        """Start an entry that knows nobody, and nothing of what was before it."""
+        self.check.excuse(name, self.now, self.now + downtime)
+        self.schedule(
+            self.now + PEER_SILENCE_TIMEOUT, lambda: self.set_known_alive(name, False)
+        )
+        self.schedule(self.now + downtime, lambda: self.start_again(name))
+
+    def start_again(self, name: str) -> None:
+        """Start an entry that knows no others and has no earlier state."""
         old = self.entries[name]
         sharing = "permits" if isinstance(old.limits.sharing, PermitSharing) else "even"
-        entry = self.entries[name] = self.make(name, sharing, [name])
-        self.at(self.now + HEARD_AFTER, lambda: self.meet(entry))
+        entry = self.entries[name] = self.make_entry(name, sharing, [name])
+        self.schedule(self.now + DISCOVERY_TIME, lambda: self.discover_peers(entry))
 
-    def meet(self, entry: LimitedEntry) -> None:
-        """Let an entry that has started and the others hear of one another."""
+    def discover_peers(self, entry: LimitedEntry) -> None:
+        """Make a started entry and the others know of each other."""
         entry.alive = [name for name, other in self.entries.items() if other.is_up]
         entry.limits.sharing.entries = len(self.entries)
-        self.notice(entry.name, True)
+        self.set_known_alive(entry.name, True)
         for other in self.entries.values():
             for endpoint, limit in other.limits.table.members.items():
                 age = self.now - limit.observed_at
                 entry.limits.table.from_peer(endpoint, limit.named, age, self.now)
 
-    def notice(self, name: str, is_up: bool) -> None:
-        """Let all others notice that an entry runs, or that it does not."""
+    def set_known_alive(self, name: str, is_up: bool) -> None:
+        """Set whether all other entries know an entry to be alive."""
         for entry in self.entries.values():
             if entry.name == name:
                 continue
@@ -243,16 +261,16 @@
 
     def delay(self) -> float:
         """Return the seconds that a message takes."""
-        return self.rng.uniform(0.0005, DELAY)
+        return self.rng.uniform(0.0005, MAX_MESSAGE_DELAY)
 
-    def keep_house(self) -> None:
-        """Let entries forget what is over."""
-        self.at(self.now + HOUSEKEEPING, self.keep_house)
+    def expire_state(self) -> None:
+        """Remove expired state of all entries, and schedule the next removal."""
+        self.schedule(self.now + EXPIRY_PERIOD, self.expire_state)
         for entry in self.entries.values():
             entry.limits.sharing.expire(self.now)
             entry.issuer.expire(self.now)
 
-    def use(self, since: float) -> float:
-        """Return the share of the limit that was used since some time."""
+    def utilisation(self, since: float) -> float:
+        """Return the share of the limit that was used since a time."""
         sent = sum(at >= since for at in self.sent)
         return sent / (self.limit * (self.now - since))
--- a/packages/core/tests/pipelines/version_fleet.py
+++ b/packages/core/tests/pipelines/version_fleet.py
@@ -1,4 +1,4 @@
-"""Entries that read versions and tell one another, with a clock and links of a test."""
+"""Simulated entries that read and exchange versions, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import attrs
 
 from lacewingcourse.core.pipelines.freshness import PropagationBudget
-from lacewingcourse.core.pipelines.peers import PeerBook
+from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.stamps import Echo, StampTable
 
 if TYPE_CHECKING:
@@ -18,31 +18,31 @@
 
     from lacewingcourse.core.pipelines.freshness import Freshness
 
-#: Seconds that a message or a call takes at the most where nothing is wrong.
-DELAY = 0.005
-#: Seconds between two rounds of news, and between two looks whether to read.
-ROUND = 0.2
-LOOK = 0.05
-#: Seconds in which a call of the source must be answered, besides what it may wait.
+#: Seconds that a message or a call takes at most without faults.
+MAX_MESSAGE_DELAY = 0.005
+#: Seconds between two gossip rounds, and between two checks whether a read is due.
+GOSSIP_PERIOD = 0.2
+READ_CHECK_PERIOD = 0.05
+#: Seconds in which the source must answer a call, in addition to its wait.
 CALL_TIMEOUT = 1.0
 #: Seconds in which another entry must answer.
 PEER_TIMEOUT = 0.6
-#: Seconds in which entries find one another before versions come.
-SETTLING = 4.0
+#: Seconds in which entries discover each other before versions are published.
+SETTLE_TIME = 4.0
 
 
 @attrs.frozen
 class News:
-    """What an entry tells another one.
+    """State that an entry sends to another one.
 
     Attributes:
         sender: Its name.
         version: Version that it knows.
-        age: Seconds since it knew that to be the newest.
+        age: Seconds since that was known to be the newest.
         reads: Whether the source answers it.
-        peers: Seconds since it heard each other entry, by name.
-        stamp: Time of its clock.
-        echo: Time of the receiver's clock that it carries back.
+        peers: Seconds since the last message of each other entry, by name.
+        stamp: Time of its clock, seconds.
+        echo: Time of the receiver's clock that the message returns.
     """
 
     sender: str
@@ -61,65 +61,71 @@
     Attributes:
         name: Its name.
         zone: Its availability zone.
-        book: What it knows of the others.
-        freshness: How old its version is known to be.
-        stamps: When what others tell was composed.
+        peer_table: The other entries.
+        freshness: Age of its version.
+        stamps: Bounds on when messages were composed.
         version: Version in force.
-        known: When each version was in force, seconds.
-        is_cut: Whether the source gives it no answer.
+        known: When each version came into force, seconds.
+        is_disconnected: Whether the source does not answer it.
         is_up: Whether it runs.
-        frozen_until: When it goes on, seconds.
-        lateness: Seconds by which it gets to its work late at the most.
-        loss: Seconds by which its messages come late at the most.
+        frozen_until: End of a freeze, seconds.
+        max_scheduling_delay: Seconds by which its work starts late at most.
+        max_extra_delay: Seconds by which its messages are late at most.
         reachable: Whether the source answered its last read.
-        position: Version that it read last itself.
+        position: Version of its last own read.
     """
 
     name: str
     zone: str
-    book: PeerBook
+    peer_table: PeerTable
     freshness: Freshness
     stamps: StampTable
     version: int = 0
     known: dict[int, float] = attrs.field(factory=dict)
-    is_cut: bool = False
+    is_disconnected: bool = False
     is_up: bool = True
     frozen_until: float = 0.0
-    lateness: float = 0.0
-    loss: float = 0.0
+    max_scheduling_delay: float = 0.0
+    max_extra_delay: float = 0.0
     reachable: bool = True
     position: int = 0
 
     @property
-    def is_calm(self) -> bool:
-        """Whether nothing is wrong with it."""
-        harmed = self.is_cut or self.frozen_until or self.lateness or self.loss
-        return self.is_up and not harmed
+    def is_healthy(self) -> bool:
+        """Whether it has no fault."""
+        impaired = (
+            self.is_disconnected
+            or self.frozen_until
+            or self.max_scheduling_delay
+            or self.max_extra_delay
+        )
+        return self.is_up and not impaired
 
 
 class VersionFleet:
-    """Entries before a source of versions.
+    """Entries that read from a source of versions.
 
     Attributes:
         now: Present time in seconds.
-        standing: Entries that read however new their knowledge is.
+        standing_readers: Entries that read regardless of the age of their knowledge.
         entries: The entries by name.
         acknowledged: When each version was acknowledged, seconds.
-        reads: Reads of the source so far.
+        reads: Number of reads of the source.
     """
 
     def __init__(
-        self, zones: dict[str, int], bound: float, seed: int, standing: int = 1
+        self, zones: dict[str, int], bound: float, seed: int, standing_readers: int = 1
     ) -> None:
-        """Make entries that know one another.
+        """Create entries that know each other.
 
         Args:
-            zones: Entries of each availability zone.
+            zones: Number of entries by availability zone.
             bound: Seconds within which a version must be in force.
-            seed: Source of all draws.
-            standing: Entries that read however new their knowledge is.
+            seed: Seed of the random numbers.
+            standing_readers: Entries that read regardless of the age of their
+                knowledge.
         """
-        self.standing = standing
+        self.standing_readers = standing_readers
         self.rng = Random(seed)
         self.now = 0.0
         self.budget = PropagationBudget(bound)
@@ -133,71 +139,82 @@
                 self.add(f"{zone}-{index:02}", zone)
         for entry in self.entries.values():
             for other in self.entries.values():
-                entry.book.hear(other.name, other.name, False, 0.0, other.zone)
-            self.at(self.rng.uniform(0, ROUND), lambda e=entry: self.speak(e))
-            self.at(self.rng.uniform(0, LOOK), lambda e=entry: self.look(e))
+                entry.peer_table.record_message(
+                    other.name, other.name, False, 0.0, other.zone
+                )
+            self.schedule(
+                self.rng.uniform(0, GOSSIP_PERIOD), lambda e=entry: self.gossip(e)
+            )
+            self.schedule(
+                self.rng.uniform(0, READ_CHECK_PERIOD),
+                lambda e=entry: self.check_read(e),
+            )
 
     def add(self, name: str, zone: str) -> None:
         """Add an entry."""
-        book, freshness = PeerBook(name, zone), self.budget.freshness()
-        self.entries[name] = VersionEntry(name, zone, book, freshness, StampTable(0.0))
+        peer_table, freshness = PeerTable(name, zone), self.budget.freshness()
+        self.entries[name] = VersionEntry(
+            name, zone, peer_table, freshness, StampTable(0.0)
+        )
 
-    def at(self, time: float, call: Callable[[], None]) -> None:
-        """Let something happen at some time."""
+    def schedule(self, time: float, call: Callable[[], None]) -> None:
+        """Schedule a call."""
         heapq.heappush(self.events, (time, next(self.order), call))
 
-    def play(self, until: float) -> None:
-        """Play until some time."""
+    def run_until(self, until: float) -> None:
+        """Run the simulation until a time."""
         while self.events[0][0] <= until:
             self.now, _, call = heapq.heappop(self.events)
             call()
         self.now = until
 
-    def work(self, entry: VersionEntry, time: float, call: Callable[[], None]) -> None:
-        """Let an entry do something at some time, or as soon as it gets to it."""
-        late = self.rng.uniform(0, entry.lateness)
+    def run_on(
+        self, entry: VersionEntry, time: float, call: Callable[[], None]
+    ) -> None:
+        """Schedule a call on an entry; it runs late on a slow or frozen one."""
+        late = self.rng.uniform(0, entry.max_scheduling_delay)
 
         def begin() -> None:
             if not entry.is_up:
                 return
             if self.now < entry.frozen_until:
-                self.at(entry.frozen_until, call)
+                self.schedule(entry.frozen_until, call)
             else:
                 call()
 
-        self.at(time + late, begin)
+        self.schedule(time + late, begin)
 
     def delay(self, *entries: VersionEntry) -> float:
         """Return the seconds that a message from or to some entries takes."""
-        lost = sum(self.rng.uniform(0, entry.loss) for entry in entries)
-        return self.rng.uniform(0.0005, DELAY) + lost
+        lost = sum(self.rng.uniform(0, entry.max_extra_delay) for entry in entries)
+        return self.rng.uniform(0.0005, MAX_MESSAGE_DELAY) + lost
 
     def settle(self) -> None:
-        """Let entries find one another."""
-        self.play(SETTLING)
+        """Run until the entries have discovered each other."""
+        self.run_until(SETTLE_TIME)
 
-    def in_order(self) -> list[VersionEntry]:
+    def in_read_order(self) -> list[VersionEntry]:
         """Return the entries in the order in which they read."""
 
         def rank(entry: VersionEntry) -> int:
-            return entry.book.reader_rank(self.now, entry.reachable)
+            return entry.peer_table.reader_rank(self.now, entry.reachable)
 
         return sorted(self.entries.values(), key=rank)
 
     def publish(self) -> None:
-        """Let the operator publish a version, which is acknowledged at once."""
+        """Publish a version, which is acknowledged at once."""
         self.acknowledged[len(self.acknowledged)] = self.now
 
-    def storm(self, gap: float, seconds: float) -> None:
-        """Publish a version each few seconds for some time.
+    def publish_burst(self, gap: float, seconds: float) -> None:
+        """Schedule versions in quick succession.
 
         Args:
-            gap: Seconds between two versions at the most.
-            seconds: For how long they come.
+            gap: Seconds between two versions at most.
+            seconds: Duration of the burst.
         """
         at, end = self.now, self.now + seconds
         while at < end:
-            self.at(at, self.publish)
+            self.schedule(at, self.publish)
             at += self.rng.uniform(0.3, 1.0) * gap
 
     @property
@@ -205,112 +222,122 @@
         """The newest version."""
         return len(self.acknowledged) - 1
 
-    def look(self, entry: VersionEntry) -> None:
-        """Let an entry read if it is its turn, and look again later."""
-        rank = entry.book.reader_rank(self.now, entry.reachable)
-        if entry.freshness.due(max(0, rank + 1 - self.standing), self.now):
+    def check_read(self, entry: VersionEntry) -> None:
+        """Make an entry read if a read is due, otherwise check again later."""
+        rank = entry.peer_table.reader_rank(self.now, entry.reachable)
+        if entry.freshness.due(max(0, rank + 1 - self.standing_readers), self.now):
             self.read(entry)
         else:
-            self.work(entry, self.now + LOOK, lambda: self.look(entry))
+            self.run_on(
+                entry, self.now + READ_CHECK_PERIOD, lambda: self.check_read(entry)
+            )
 
     def read(self, entry: VersionEntry) -> None:
-        """Let an entry read, waiting for a version that it does not know."""
+        """Make an entry read, waiting for a version that it does not know."""
         self.reads += 1
         sent_at = self.now
         until = sent_at + self.budget.wait
-        if entry.is_cut:
+        if entry.is_disconnected:
             failed_at = until + CALL_TIMEOUT
-            self.work(entry, failed_at, lambda: self.fail(entry))
+            self.run_on(entry, failed_at, lambda: self.on_failed_read(entry))
             return
         there = self.now + self.delay(entry)
-        self.at(there, lambda: self.answer(entry, sent_at, until))
+        self.schedule(there, lambda: self.answer(entry, sent_at, until))
 
     def answer(self, entry: VersionEntry, sent_at: float, until: float) -> None:
-        """Let the source answer if there is a version, or if it has waited enough."""
+        """Make the source answer once there is a new version or the wait is over."""
         if self.newest == entry.version and self.now < until:
-            again = min(until, self.now + DELAY)
-            self.at(again, lambda: self.answer(entry, sent_at, until))
+            again = min(until, self.now + MAX_MESSAGE_DELAY)
+            self.schedule(again, lambda: self.answer(entry, sent_at, until))
             return
         waited = until - sent_at if self.newest == entry.version else 0.0
-        version = self.bring(entry)
+        version = self.read_version(entry)
         back = self.now + self.delay(entry)
 
         def take() -> None:
             if back > until + CALL_TIMEOUT:
-                self.fail(entry)
+                self.on_failed_read(entry)
                 return
             entry.reachable = True
             entry.freshness.succeeded(self.now, self.known_at(sent_at, waited))
-            self.take(entry, version)
-            self.look(entry)
+            self.apply_version(entry, version)
+            self.check_read(entry)
 
-        self.work(entry, back, take)
+        self.run_on(entry, back, take)
 
-    def bring(self, entry: VersionEntry) -> int:
-        """Return the version that the source gives an entry."""
+    def read_version(self, entry: VersionEntry) -> int:
+        """Return the version that a read by an entry returns."""
         return self.newest
 
     def known_at(self, sent_at: float, waited: float) -> float:
-        """Return when what a read brought was the newest.
+        """Return when the result of a read was the newest version.
 
         Args:
             sent_at: When the read was sent, seconds.
-            waited: Seconds for which the source waited in vain.
+            waited: Seconds for which the source waited without a new version.
         """
         return sent_at + waited
 
     def composed_at(self, entry: VersionEntry, news: News) -> float | None:
-        """Return when an entry takes news to have been composed."""
+        """Return the composition time that an entry assumes for news."""
         return entry.stamps.composed_at(news.echo, self.now)
 
-    def fail(self, entry: VersionEntry) -> None:
-        """Let an entry note that a read was not answered."""
+    def on_failed_read(self, entry: VersionEntry) -> None:
+        """Record that a read of an entry was not answered."""
         entry.reachable = False
         entry.freshness.failed(self.now, self.rng.random())
-        self.look(entry)
+        self.check_read(entry)
 
-    def take(self, entry: VersionEntry, version: int) -> None:
-        """Put a version in force unless a newer one is, and tell it at once."""
+    def apply_version(self, entry: VersionEntry, version: int) -> None:
+        """Put a version in force unless a newer one is, and report it at once."""
         if version > entry.version:
             entry.version = version
             entry.known[version] = self.now
-            self.tell_all(entry, urgent=True)
+            self.send_news(entry, urgent=True)
 
-    def speak(self, entry: VersionEntry) -> None:
-        """Let an entry speak with others, and again in the next round."""
-        self.tell_all(entry, urgent=False)
-        self.work(entry, self.now + ROUND, lambda: self.speak(entry))
+    def gossip(self, entry: VersionEntry) -> None:
+        """Run a gossip round of an entry, and schedule the next one."""
+        self.send_news(entry, urgent=False)
+        self.run_on(entry, self.now + GOSSIP_PERIOD, lambda: self.gossip(entry))
 
-    def tell_all(self, entry: VersionEntry, urgent: bool) -> None:
-        """Let an entry speak with those whose turn it is."""
-        for peer in entry.book.partners(self.now, urgent):
+    def send_news(self, entry: VersionEntry, urgent: bool) -> None:
+        """Send news of an entry to its gossip targets."""
+        for peer in entry.peer_table.gossip_targets(self.now, urgent):
             other = self.entries[peer.name]
             news = self.news(entry, other)
             arrives = self.now + self.delay(entry, other)
-            self.work(other, arrives, lambda o=other, n=news: self.receive(o, n, True))
+            self.run_on(
+                other, arrives, lambda o=other, n=news: self.receive(o, n, True)
+            )
 
     def news(self, entry: VersionEntry, receiver: VersionEntry) -> News:
-        """Return what an entry tells another one now."""
-        told = entry.book.told_to(receiver.zone, self.now)
+        """Return the news that an entry sends to another one now."""
+        reported = entry.peer_table.peers_to_report(receiver.zone, self.now)
         return News(
             entry.name,
             entry.version,
             entry.freshness.age(self.now),
             entry.reachable,
-            {peer.name: self.now - peer.heard_at for peer in told},
+            {peer.name: self.now - peer.last_message_at for peer in reported},
             self.now,
             entry.stamps.echo(receiver.name, self.now),
         )
 
     def receive(self, entry: VersionEntry, news: News, asked: bool) -> None:
-        """Let an entry take news, and answer them if it was asked."""
+        """Make an entry process news; it answers a request.
+
+        Args:
+            entry: The receiver.
+            news: The news.
+            asked: Whether the sender expects an answer.
+        """
         sender = self.entries[news.sender]
-        book = entry.book
-        book.hear(
+        peer_table = entry.peer_table
+        peer_table.record_message(
             sender.name, sender.name, False, self.now, sender.zone, reads=news.reads
         )
         for name, age in news.peers.items():
-            book.hear_of(name, name, self.entries[name].zone, age, self.now)
+            peer_table.record_report(name, name, self.entries[name].zone, age, self.now)
         entry.stamps.receive(news.sender, news.stamp, self.now)
         if news.version == entry.version:
             composed_at = self.composed_at(entry, news)
@@ -321,10 +348,10 @@
         if asked:
             answer = self.news(entry, sender)
             arrives = self.now + self.delay(entry, sender)
-            self.work(sender, arrives, lambda: self.receive(sender, answer, False))
+            self.run_on(sender, arrives, lambda: self.receive(sender, answer, False))
 
     def fetch(self, entry: VersionEntry, sender: VersionEntry) -> None:
-        """Let an entry fetch the version of another one."""
+        """Make an entry fetch the version of another one."""
         sent_at = self.now
         there = self.now + self.delay(entry, sender)
 
@@ -332,12 +359,12 @@
             version = sender.version
             back = self.now + self.delay(entry, sender)
             if back < sent_at + PEER_TIMEOUT:
-                self.work(entry, back, lambda: self.take(entry, version))
+                self.run_on(entry, back, lambda: self.apply_version(entry, version))
 
-        self.work(sender, there, answer)
+        self.run_on(sender, there, answer)
 
-    def lag(self, entry: VersionEntry) -> float:
-        """Return the seconds that a version needed at the most to come into force."""
+    def max_lag(self, entry: VersionEntry) -> float:
+        """Return the largest delay in seconds between acknowledgement and effect."""
         worst, pending = 0.0, 0
         for version in sorted(entry.known):
             for missed in range(pending + 1, version + 1):
@@ -347,7 +374,7 @@
             worst = max(worst, self.now - self.acknowledged[missed])
         return worst
 
-    def calm_lag(self) -> float:
-        """Return the worst lag of the entries with which nothing is wrong."""
-        calm = [entry for entry in self.entries.values() if entry.is_calm]
-        return max(self.lag(entry) for entry in calm)
+    def healthy_lag(self) -> float:
+        """Return the largest lag of the entries without a fault."""
+        healthy = [entry for entry in self.entries.values() if entry.is_healthy]
+        return max(self.max_lag(entry) for entry in healthy)
--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -11,12 +11,15 @@
 
 from tornado.httpserver import HTTPServer
 
-from lacewingcourse.core.pipelines.admission_queue import WAITS
+from lacewingcourse.core.pipelines.admission_queue import WAIT_POLICIES
 from lacewingcourse.core.pipelines.freshness import RETRY_DELAYS, PropagationBudget
-from lacewingcourse.core.pipelines.limit_sharing import LIMIT_SHARINGS
-from lacewingcourse.core.pipelines.peers import PeerBook
+from lacewingcourse.core.pipelines.limit_sharing import LIMIT_SHARING_POLICIES
+from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.permits import PermitIssuer
-from lacewingcourse.core.pipelines.retry_budget import RETRY_SHARINGS, RetryBudget
+from lacewingcourse.core.pipelines.retry_budget import (
+    RETRY_SHARING_POLICIES,
+    RetryBudget,
+)
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
 from lacewingcourse.relay.address import split_address
 from lacewingcourse.relay.admission import Admission
@@ -98,7 +101,7 @@
             LAST_REQUESTS.get(settings.last_requests),
         )
         self.pool = ConnectionPool()
-        self.book = PeerBook(settings.name, settings.zone)
+        self.book = PeerTable(settings.name, settings.zone)
         self.budget = RetryBudget(
             settings.bounds.retry_ratio,
             settings.bounds.retry_window,
@@ -123,7 +126,7 @@
             self.metrics.unreadable_limits.inc,
         )
         send_limits = self.routing_state.send_limits
-        send_limits.sharing = LIMIT_SHARINGS.get(self.settings.limit_sharing)()
+        send_limits.sharing = LIMIT_SHARING_POLICIES.get(self.settings.limit_sharing)()
         sender = Sender(
             self.pool,
             self.platform.codec,
@@ -136,7 +139,7 @@
         calls = CallForwarder(
             self.routing_state, sender, self.budget, zone, rng, self.log
         )
-        self.admission = Admission(self.clock, WAITS.get(self.settings.wait))
+        self.admission = Admission(self.clock, WAIT_POLICIES.get(self.settings.wait))
         finder = PathFinder(self.routing_state, rng, self.clock, self.pool)
         self.stalls = StallWatcher(
             self.platform.reports,
@@ -250,7 +253,7 @@
             rng,
             self.log,
             self.metrics.unreadable_messages.inc,
-            RETRY_SHARINGS.get(self.settings.retry_sharing),
+            RETRY_SHARING_POLICIES.get(self.settings.retry_sharing),
         )
         # A later process of the same name counts anew.
         issuer = PermitIssuer(f"{self.settings.name} {uuid4()}")
@@ -265,8 +268,8 @@
             self.metrics.unreadable_messages.inc,
             lambda: self.readiness.leaving,
         )
-        send_limits.on_want = self.permits.schedule_check
-        send_limits.on_fall = self._tell_peers
+        send_limits.on_demand = self.permits.schedule_check
+        send_limits.on_decrease = self._tell_peers
         self.house = Housekeeping(
             self.routing_state,
             self.pool,
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -10,7 +10,7 @@
 
 from lacewingcourse.core.pipelines.peers import Role
 from lacewingcourse.core.pipelines.stamps import StampTable
-from lacewingcourse.core.pipelines.suspects import Reach
+from lacewingcourse.core.pipelines.suspects import ObservationScope
 from lacewingcourse.relay.peer_messages import (
     GossipMessage,
     Scope,
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lacewingcourse.core.pipelines.peers import PeerBook
+    from lacewingcourse.core.pipelines.peers import PeerTable
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.duty_holder import DutyHolder
     from lacewingcourse.relay.followers import ConfigurationFollower, DirectoryFollower
@@ -30,11 +30,11 @@
 
 #: Key of the sum of the loads of all other entries, as a hub sends it to a member.
 OTHERS_KEY = "others"
-#: Reach of the suspicions and losses in a message, by the scope of its loads.
-REACH_OF_SCOPE = {
-    Scope.OWN: Reach.OWN,
-    Scope.ZONE: Reach.ZONE,
-    Scope.OTHERS: Reach.ALL,
+#: Observation scope of the suspicions and losses in a message, by the scope of its loads.
+OBSERVATION_SCOPES = {
+    Scope.OWN: ObservationScope.OWN,
+    Scope.ZONE: ObservationScope.ZONE,
+    Scope.OTHERS: ObservationScope.ALL,
 }
 
 
@@ -66,7 +66,7 @@
 
     name: str
     address: str
-    book: PeerBook
+    book: PeerTable
     routing_state: RoutingState
     configuration: ConfigurationFollower
     directory: DirectoryFollower
@@ -100,7 +100,7 @@
         """
         now, boot_now = self.clock(), self.boot_clock()
         scope = self.scope_for(receiver, zone, now)
-        reach = REACH_OF_SCOPE[scope]
+        reach = OBSERVATION_SCOPES[scope]
         included = self._load_filter(scope, receiver)
         loads = self.routing_state.loads.total(included)
         links = self.routing_state.links.total(now, included)
@@ -126,8 +126,12 @@
             speeds=self.routing_state.speeds.remaining(now),
             crashes=self.routing_state.crashes.losses(now, reach),
             peers={
-                peer.name: (peer.address, peer.zone, round(now - peer.heard_at, 3))
-                for peer in self.book.told_to(zone, now)
+                peer.name: (
+                    peer.address,
+                    peer.zone,
+                    round(now - peer.last_message_at, 3),
+                )
+                for peer in self.book.peers_to_report(zone, now)
             },
             counts=self._zone_counts(scope, now),
             holder=lease.holder if lease else "",
@@ -165,7 +169,7 @@
         now = self.clock()
         self.stamps.receive(message.name, message.stamp, self.boot_clock())
         was_alive = message.name in self.book.alive(now)
-        self.book.hear(
+        self.book.record_message(
             message.name,
             message.address,
             message.leaving,
@@ -180,7 +184,7 @@
         transit = self.transit_time(message)
         transit = transit if isfinite(transit) else 0.0
         for name, (address, zone, age) in message.peers.items():
-            self.book.hear_of(name, address, zone, transit + age, now)
+            self.book.record_report(name, address, zone, transit + age, now)
         self._apply_counts(message, now)
         self._apply_loads(message, now)
         seen_in_zone = message.zone == self.book.zone and message.scope is Scope.OWN
--- a/packages/relay/src/lacewingcourse/relay/housekeeping.py
+++ b/packages/relay/src/lacewingcourse/relay/housekeeping.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lacewingcourse.core.pipelines.peers import PeerBook
+    from lacewingcourse.core.pipelines.peers import PeerTable
     from lacewingcourse.core.pipelines.permits import PermitIssuer
     from lacewingcourse.core.pipelines.retry_budget import RetryBudget
     from lacewingcourse.relay.connections import ConnectionPool
@@ -40,7 +40,7 @@
 
     routing_state: RoutingState
     pool: ConnectionPool
-    book: PeerBook
+    book: PeerTable
     budget: RetryBudget
     issuer: PermitIssuer
     clock: Callable[[], float]
@@ -69,7 +69,7 @@
         self.routing_state.send_limits.sharing.entries = self.book.count(now)
         self.issuer.expire(now)
         self.budget.entries = max(self.book.count(now), self.budget.entries)
-        self.budget.known = 1 + len(self.book.peers)
+        self.budget.known_entries = 1 + len(self.book.peers)
 
 
 def suspend_time(now: float) -> float:
--- a/packages/relay/src/lacewingcourse/relay/stream_attempt.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_attempt.py
@@ -135,7 +135,7 @@
     def receive(self, data: bytes) -> None:
         """Add received bytes, and pass complete events on to the caller."""
         self._forward_events(self.state.cutter.feed(data))
-        if self.state.cutter.overgrown:
+        if self.state.cutter.oversized:
             self.exchange.arrivals.put_nowait(End(False, "bytes that are no events"))
 
     def _next_check_at(self, now: float) -> float:
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -10,10 +10,10 @@
 from lacewingcourse.core.errors import ErrorKind, Outcome, Refusal
 from lacewingcourse.core.pipelines.admission_queue import (
     retry_after,
-    retry_after_denied,
+    retry_after_exhausted,
     retry_after_limit,
 )
-from lacewingcourse.core.pipelines.events import EventCutter
+from lacewingcourse.core.pipelines.events import EventSplitter
 from lacewingcourse.core.pipelines.suspects import is_full
 from lacewingcourse.relay.admission import RETRY_PERIOD
 from lacewingcourse.relay.connections import (
@@ -88,7 +88,7 @@
             A refusal if the response could not be completed, None if it was, or if the
             caller left.
         """
-        cutter = EventCutter(last_id=job.request.resume_after)
+        cutter = EventSplitter(last_id=job.request.resume_after)
         state = StreamState(job, shape, demand_of(job, shape), cutter)
         try:
             return await self._serve(state)
@@ -268,7 +268,7 @@
             self.stalls.begin(job, self.sender.clock())
             if job.caller.gone:
                 job.caller_gone()
-            state.cutter.restart()
+            state.cutter.discard_pending()
             mover = Mover(self, state, job.path)
             attempt = StreamAttempt(
                 state, sent, self.sender, self.stalls, self.log, mover, head
@@ -335,7 +335,9 @@
                 self.on_suspect()
         elif result.first_lost:
             job.avoid.add(path.first.endpoint)
-            self.routing_state.crashes.strike(job.fingerprint, path.first.endpoint, now)
+            self.routing_state.crashes.record_loss(
+                job.fingerprint, path.first.endpoint, now
+            )
         elif result.end is AttemptEnd.STALLED:
             if not path.uses(job.avoid):
                 job.avoid.update(part.endpoint for part in path.parts)
@@ -391,5 +393,5 @@
         """Return the seconds after which a refused caller should retry."""
         draw = self.rng.random()
         if kind is ErrorKind.RETRIES_EXHAUSTED:
-            return retry_after_denied(draw)
+            return retry_after_exhausted(draw)
         return retry_after(self.routing_state.durations.usual(job.route.name), draw)
--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from lacewingcourse.core.pipelines.freshness import Freshness
-from lacewingcourse.core.pipelines.peers import PeerBook, Role
+from lacewingcourse.core.pipelines.peers import PeerTable, Role
 from lacewingcourse.relay.gossip import Gossip
 from lacewingcourse.relay.peer_messages import GossipMessage, decode, encode
 from lacewingcourse.relay.peers import GOSSIP_PERIOD
@@ -22,7 +22,7 @@
         return self.now
 
 
-def holder_stub(name: str, book: PeerBook, clock: Clock) -> SimpleNamespace:
+def holder_stub(name: str, book: PeerTable, clock: Clock) -> SimpleNamespace:
     """Return a stub for the duty holder, for tests that do not use it."""
     return SimpleNamespace(lease=None, released=0, hear=lambda *news: None)
 
@@ -47,7 +47,7 @@
                 self.add(f"{zone}-{number:02}", zone)
         first = min(self.entries)
         for entry in self.entries.values():
-            entry.book.learn(first, first, 0.0)
+            entry.book.set_address(first, first, 0.0)
 
     def add(self, name: str, zone: str) -> Gossip:
         """Add an entry that knows no other one."""
@@ -59,7 +59,7 @@
             belief=lambda *args, **fields: None,
             limit=lambda *fields: None,
         )
-        book = PeerBook(name, zone)
+        book = PeerTable(name, zone)
         self.entries[name] = Gossip(
             name,
             name,
@@ -93,7 +93,7 @@
             for entry in list(self.entries.values()):
                 entry.book.expire(self.clock.now)
                 entry.routing_state.loads.expire(self.clock.now)
-                for peer in entry.book.partners(self.clock.now):
+                for peer in entry.book.gossip_targets(self.clock.now):
                     self.exchange(entry, peer.name, peer.zone)
 
     def roles(self) -> dict[str, Role]:
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from lacewingcourse.core.pipelines.peers import MEMBER_RANK, PEER_SILENT, Role
+from lacewingcourse.core.pipelines.peers import MEMBER_RANK, PEER_SILENCE_TIMEOUT, Role
 from lacewingcourse.core.pipelines.request_limits import NO_LIMIT
-from lacewingcourse.core.pipelines.retry_budget import COUNTING_TIME
+from lacewingcourse.core.pipelines.retry_budget import PEER_DISCOVERY_TIME
 from lacewingcourse.relay.peers import GOSSIP_PERIOD, REGISTRY_PERIOD
 
 from .network import Network
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("zones", [{"a": 2, "b": 1}, dict.fromkeys("abcde", 14)])
 def test_entries_are_counted_before_they_use_their_shares_of_the_retries(zones):
     network = Network(zones)
-    network.run_rounds(int((COUNTING_TIME - REGISTRY_PERIOD) / GOSSIP_PERIOD))
+    network.run_rounds(int((PEER_DISCOVERY_TIME - REGISTRY_PERIOD) / GOSSIP_PERIOD))
     counts = {e.book.count(network.clock()) for e in network.entries.values()}
     assert counts == {sum(zones.values())}
 
@@ -139,7 +139,7 @@
 def test_crashes_under_a_request_reach_all_entries(large):
     for number, name in enumerate(["a-05", "b-05", "c-05"]):
         crashes = large.entries[name].routing_state.crashes
-        crashes.strike("r", f"x{number}", large.clock())
+        crashes.record_loss("r", f"x{number}", large.clock())
     large.run_rounds(5)
     now = large.clock()
     assert all(
@@ -150,7 +150,7 @@
 def test_entries_find_new_hubs_after_those_of_a_zone_are_gone(large):
     for name in ("b-00", "b-01"):
         del large.entries[name]
-    large.run_rounds(int(3 * PEER_SILENT / GOSSIP_PERIOD))
+    large.run_rounds(int(3 * PEER_SILENCE_TIMEOUT / GOSSIP_PERIOD))
     hubs = {name for name, role in large.roles().items() if role is Role.HUB}
     assert {"b-02", "b-03"} <= hubs
     give_loads(large)
--- a/packages/relay/tests/relay/test_housekeeping.py
+++ b/packages/relay/tests/relay/test_housekeeping.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lacewingcourse.core.pipelines.peers import PeerBook
+from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.permits import PermitIssuer
 from lacewingcourse.core.pipelines.retry_budget import RetryBudget
 from lacewingcourse.core.pipelines.speed import ESTIMATE_KEPT
@@ -22,7 +22,7 @@
 
     def make(on_thaw=lambda frozen_for: None):
         budget = RetryBudget(0.2, 10.0, 200.0)
-        book = PeerBook("a")
+        book = PeerTable("a")
         pool = ConnectionPool()
         issuer = PermitIssuer("a")
         return Housekeeping(
@@ -46,7 +46,7 @@
 def test_the_budget_is_shared_by_the_most_entries_that_were_alive(make_housekeeper):
     housekeeper = make_housekeeper()
     for name in "bc":
-        housekeeper.book.hear(name, f"{name}:1", False, 0.0)
+        housekeeper.book.record_message(name, f"{name}:1", False, 0.0)
     housekeeper.expire(0.1)
     housekeeper.expire(100.0)
     assert housekeeper.budget.entries == 3
@@ -56,13 +56,13 @@
     make_housekeeper,
 ):
     housekeeper = make_housekeeper()
-    housekeeper.book.hear("b", "b:1", True, 0.0)
-    housekeeper.book.learn("c", "c:1", 0.0)
+    housekeeper.book.record_message("b", "b:1", True, 0.0)
+    housekeeper.book.set_address("c", "c:1", 0.0)
     housekeeper.expire(0.1)
-    assert (housekeeper.budget.known, housekeeper.budget.entries) == (3, 1)
+    assert (housekeeper.budget.known_entries, housekeeper.budget.entries) == (3, 1)
     housekeeper.book.expire(100.0)
     housekeeper.expire(100.0)
-    assert housekeeper.budget.known == 1
+    assert housekeeper.budget.known_entries == 1
 
 
 @pytest.mark.parametrize(
--- a/packages/relay/tests/relay/test_message_age.py
+++ b/packages/relay/tests/relay/test_message_age.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lacewingcourse.core.pipelines.freshness import Freshness
-from lacewingcourse.core.pipelines.peers import PEER_SILENT
+from lacewingcourse.core.pipelines.peers import PEER_SILENCE_TIMEOUT
 from lacewingcourse.relay.peer_messages import GossipMessage, decode, encode
 from lacewingcourse.relay.peers import GOSSIP_PERIOD, PeerExchange
 
@@ -81,8 +81,8 @@
     network.run_rounds(2)
     sender = network.entries[SENDER]
     now = network.clock()
-    sender.book.hear("a-02", "a-02", False, now, "a")
+    sender.book.record_message("a-02", "a-02", False, now, "a")
     message = sender.message_for(RECEIVER, "a")
-    network.clock.now += PEER_SILENT + GOSSIP_PERIOD
+    network.clock.now += PEER_SILENCE_TIMEOUT + GOSSIP_PERIOD
     deliver(network, message)
     assert "a-02" not in network.entries[RECEIVER].book.alive(network.clock())
