--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -210,11 +210,11 @@
         long that its configuration is the newest.
         """
         job = self._job(caller, request)
-        if not isinstance(job, Refusal) or not self.guard.doubts(job):
+        if not isinstance(job, Refusal) or not self.guard.may_be_outdated(job):
             return job
-        await self.guard.wait()
+        await self.guard.wait_for_update()
         job = self._job(caller, request)
-        if isinstance(job, Refusal) and self.guard.doubts(job):
+        if isinstance(job, Refusal) and self.guard.may_be_outdated(job):
             return self.guard.refusal(self.rng.random())
         return job
 
--- a/packages/relay/tests/relay/test_staleness.py
+++ b/packages/relay/tests/relay/test_staleness.py
@@ -19,7 +19,7 @@
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.job import Job
-from lacewingcourse.relay.staleness import LOOK_PERIOD, LOOKS, StalenessGuard
+from lacewingcourse.relay.staleness import MAX_POLLS, POLL_INTERVAL, StalenessGuard
 
 from .virtual_time import play
 
@@ -61,7 +61,7 @@
         self.known_at = asyncio.get_running_loop().time()
 
 
-def ask(path: str, age: float, confirmed=None) -> tuple[Job | Refusal, float]:
+def resolve(path: str, age: float, confirmed=None) -> tuple[Job | Refusal, float]:
     """Return what is decided of a request, and after how many seconds.
 
     Args:
@@ -70,7 +70,7 @@
         confirmed: Called with the configuration a little later, None for nothing.
     """
 
-    async def asked():
+    async def resolved():
         loop = asyncio.get_running_loop()
         configuration = Configuration(age)
         gateway = Gateway(
@@ -96,38 +96,38 @@
         if confirmed is not None:
             loop.call_later(0.1, confirmed, configuration)
         caller, began_at = SimpleNamespace(begun=False), loop.time()
-        decided = await gateway._certain_job(caller, request)
-        return decided, loop.time() - began_at
+        result = await gateway._certain_job(caller, request)
+        return result, loop.time() - began_at
 
-    return play(asked())
+    return play(resolved())
 
 
-def test_what_the_newest_version_does_not_know_is_refused_at_once():
-    refusal, took = ask("/new/", age=0.5)
+def test_unknown_route_is_refused_at_once_when_configuration_is_current():
+    refusal, took = resolve("/new/", age=0.5)
     assert (refusal.kind, took) == (ErrorKind.UNKNOWN_RESOURCE, 0.0)
 
 
-def test_a_request_that_an_old_version_knows_does_not_wait():
-    job, took = ask("/known/", age=STALE)
+def test_known_route_does_not_wait_when_configuration_is_stale():
+    job, took = resolve("/known/", age=STALE)
     assert isinstance(job, Job)
     assert took == 0.0
 
 
-def test_what_an_old_version_does_not_know_is_not_said_to_be_missing():
-    refusal, took = ask("/new/", age=STALE)
+def test_unknown_route_is_not_ready_when_configuration_is_stale():
+    refusal, took = resolve("/new/", age=STALE)
     assert refusal.kind is ErrorKind.NOT_READY
     assert refusal.answer.status == 503
     assert refusal.retry_after > 0
-    assert took == pytest.approx(LOOKS * LOOK_PERIOD)
+    assert took == pytest.approx(MAX_POLLS * POLL_INTERVAL)
 
 
-def test_a_request_waits_for_the_version_that_knows_it():
-    job, took = ask("/new/", STALE, lambda known: known.confirm(table(2, "/new/")))
+def test_request_waits_for_the_version_with_its_route():
+    job, took = resolve("/new/", STALE, lambda known: known.confirm(table(2, "/new/")))
     assert isinstance(job, Job)
-    assert took < LOOKS * LOOK_PERIOD
+    assert took < MAX_POLLS * POLL_INTERVAL
 
 
-def test_what_is_confirmed_to_be_missing_is_refused():
-    refusal, took = ask("/new/", STALE, lambda known: known.confirm())
+def test_unknown_route_is_refused_once_configuration_is_confirmed():
+    refusal, took = resolve("/new/", STALE, lambda known: known.confirm())
     assert refusal.kind is ErrorKind.UNKNOWN_RESOURCE
-    assert took < LOOKS * LOOK_PERIOD
+    assert took < MAX_POLLS * POLL_INTERVAL
