--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -208,7 +208,7 @@
             self.log,
             self.clock,
             self._rank,
-            lambda: self.readiness.leaving,
+            lambda: self.readiness.draining,
         )
         self.placement = PlacementDuty(
             self.holder,
@@ -261,7 +261,7 @@
             rng,
             self.log,
             self.metrics.unreadable_messages.inc,
-            lambda: self.readiness.leaving,
+            lambda: self.readiness.draining,
         )
         send_limits.on_want = self.permits.check
         send_limits.on_fall = self._tell_peers
@@ -391,10 +391,10 @@
         self.holder.lease = None
         self.budget.drop_loans()
         self.beliefs.send_limits.sharing.clear()
-        self.readiness.suspended(slept)
+        self.readiness.add_suspended_time(slept)
 
     def _on_term(self) -> None:
-        if self.readiness.leaving:
+        if self.readiness.draining:
             return
         # The grace time runs while a loop that is held up has not noticed the signal.
         self.ingress.leave(self.watch.previous_look)
--- a/packages/relay/src/lacewingcourse/relay/endings.py
+++ b/packages/relay/src/lacewingcourse/relay/endings.py
@@ -68,11 +68,11 @@
 
         It never ends while the balancer may still send callers here.
         """
-        if not self.readiness.leaving:
+        if not self.readiness.draining:
             return None
-        soonest = self.readiness.leaving_since + BALANCER_DELAY
+        soonest = self.readiness.drain_started_at + BALANCER_DELAY
         rests = [self._rest(caller, now) for caller in self.callers.open]
-        return expected_end(soonest, self.readiness.last, rests, now)
+        return expected_end(soonest, self.readiness.drain_deadline, rests, now)
 
     def _rest(self, caller: CallerExchange, now: float) -> float:
         """Return the seconds that an answer is expected to take yet."""
--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -197,7 +197,7 @@
         """
         until = request.received_at + FIRST_CONFIGURATION_WAIT
         while self.beliefs.table is None and self.clock() < until:
-            if self.readiness.leaving:
+            if self.readiness.draining:
                 return
             await asyncio.sleep(RETRY_PERIOD)
 
@@ -221,7 +221,7 @@
     def _job(self, caller: CallerExchange, request: CallerRequest) -> Job | Refusal:
         """Return what is to be done for a request, or why nothing is."""
         table = self.beliefs.table
-        if table is None and self.readiness.leaving:
+        if table is None and self.readiness.draining:
             return Refusal(ErrorKind.DRAINING, LEAVING)
         if table is None:
             reason = "no configuration is known yet"
@@ -239,7 +239,7 @@
         service = route.service_for(request.id)
 
         def takes(now: float) -> bool:
-            return self.readiness.takes(route.name, now, until)
+            return self.readiness.accepts(route.name, now, until)
 
         job = Job(
             request=request,
@@ -253,7 +253,7 @@
         )
         now = self.clock()
         refusal = job.refused_at(now)
-        if self.readiness.leaving:
+        if self.readiness.draining:
             self._log_last_request(job, refusal is None, now)
         return refusal or job
 
@@ -261,7 +261,7 @@
         """Return a refusal that sends no caller back to entries which are ending."""
         if refusal.kind is ErrorKind.DRAINING:
             return attrs.evolve(refusal, retry_after=self._other_entry())
-        if refusal.retry_after is None or not self.readiness.leaving:
+        if refusal.retry_after is None or not self.readiness.draining:
             return refusal
         wait = max(refusal.retry_after, self._other_entry())
         return attrs.evolve(refusal, retry_after=wait)
@@ -269,7 +269,9 @@
     def _log_last_request(self, job: Job, taken: bool, now: float) -> None:
         """Tell whether a request was taken that came while this entry ends."""
         time = self.readiness.answer_time(job.route.name, now, job.until)
-        self.log.last_request(job.request, taken, time, self.readiness.last - now)
+        self.log.last_request(
+            job.request, taken, time, self.readiness.drain_deadline - now
+        )
 
     def _other_entry(self) -> float:
         """Return the seconds after which a caller meets an entry that serves it."""
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -104,7 +104,7 @@
             name=self.name,
             zone=self.book.zone,
             address=self.address,
-            leaving=self.readiness.leaving,
+            leaving=self.readiness.draining,
             version=table.version if table else 0,
             version_age=self.configuration.freshness.age(boot_now),
             position=self.directory.position or 0,
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -80,7 +80,7 @@
             guard=guard,
         )
         self.callers = CallerConnections(
-            self.gateway.serve, clock, lambda: readiness.leaving
+            self.gateway.serve, clock, lambda: readiness.draining
         )
         self.endings = Endings(readiness, self.callers, self.gateway, book, clock)
         self.front = Front(self.callers, max_header_size=MOST_HEAD)
@@ -113,7 +113,7 @@
         Args:
             since: When the grace time began at the latest, seconds.
         """
-        self.readiness.leave(since)
+        self.readiness.start_drain(since)
         self.front.conn_params.no_keep_alive = True
 
     def tell_leaving(self) -> None:
--- a/packages/relay/src/lacewingcourse/relay/leaving.py
+++ b/packages/relay/src/lacewingcourse/relay/leaving.py
@@ -77,7 +77,7 @@
 
     def _is_over(self, now: float) -> bool:
         """Tell whether nothing is waited for any more."""
-        if now >= self.readiness.last:
+        if now >= self.readiness.drain_deadline:
             return True
-        waited = now - self.readiness.leaving_since
+        waited = now - self.readiness.drain_started_at
         return waited > BALANCER_DELAY and not self.callers.open
--- a/packages/relay/src/lacewingcourse/relay/readiness.py
+++ b/packages/relay/src/lacewingcourse/relay/readiness.py
@@ -15,7 +15,7 @@
 
 
 #: Seconds of the time for ending that are kept for the end itself.
-END_MARGIN = 0.4
+SHUTDOWN_MARGIN = 0.4
 
 
 @attrs.define
@@ -33,40 +33,42 @@
 
     beliefs: Beliefs
     grace: float
-    takes_last: Callable[[AnswerTime, float], bool] = take_until_redirected
-    leaving_since: float | None = None
+    accept_policy: Callable[[AnswerTime, float], bool] = take_until_redirected
+    drain_started_at: float | None = None
     closed: bool = False
 
-    def leave(self, now: float) -> None:
+    def start_drain(self, now: float) -> None:
         """Note the request to end."""
-        if self.leaving_since is None:
-            self.leaving_since = now
+        if self.drain_started_at is None:
+            self.drain_started_at = now
 
-    def suspended(self, seconds: float) -> None:
+    def add_suspended_time(self, seconds: float) -> None:
         """Count time for which the machine was suspended, which the clock does not."""
-        if self.leaving_since is not None:
-            self.leaving_since -= seconds
+        if self.drain_started_at is not None:
+            self.drain_started_at -= seconds
 
     @property
-    def leaving(self) -> bool:
+    def draining(self) -> bool:
         """Whether this entry is ending."""
-        return self.leaving_since is not None
+        return self.drain_started_at is not None
 
     @property
-    def last(self) -> float:
+    def drain_deadline(self) -> float:
         """Time at which every answer must have ended, seconds."""
-        since = self.leaving_since
-        return float("inf") if since is None else since + self.grace - END_MARGIN
+        since = self.drain_started_at
+        return float("inf") if since is None else since + self.grace - SHUTDOWN_MARGIN
 
-    def takes(self, route: str, now: float, until: float) -> bool:
+    def accepts(self, route: str, now: float, deadline: float) -> bool:
         """Tell whether a request is served, see `answer_time` for the arguments."""
-        if not self.leaving:
+        if not self.draining:
             return True
         if self.closed:
             return False
-        return self.takes_last(self.answer_time(route, now, until), self.last - now)
+        return self.accept_policy(
+            self.answer_time(route, now, deadline), self.drain_deadline - now
+        )
 
-    def answer_time(self, route: str, now: float, until: float) -> AnswerTime:
+    def answer_time(self, route: str, now: float, deadline: float) -> AnswerTime:
         """Return how long the answer to a request may take while this entry ends.
 
         The balancer sends connections here for some seconds after the request to end,
@@ -80,9 +82,9 @@
         """
         return AnswerTime(
             expected=self.beliefs.durations.expected(route),
-            limit=until - now,
+            limit=deadline - now,
             grace=self.grace,
-            since_asked=now - self.leaving_since,
+            since_asked=now - self.drain_started_at,
         )
 
     def is_ready(self) -> bool:
@@ -90,4 +92,4 @@
 
         Without configuration every request would be refused.
         """
-        return not self.leaving and self.beliefs.table is not None
+        return not self.draining and self.beliefs.table is not None
--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -55,7 +55,7 @@
             freshness=Freshness(1.0, 0.1), position=None, reachable=True
         )
         nothing = SimpleNamespace(
-            leaving=False,
+            draining=False,
             belief=lambda *args, **fields: None,
             limit=lambda *fields: None,
         )
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/restarts.py
@@ -235,7 +235,7 @@
     async def restart(self, name: str) -> None:
         """Ask an entry to end, and start it again."""
         process = self.processes[name]
-        process.gateway.readiness.leave(self.clock())
+        process.gateway.readiness.start_drain(self.clock())
         calls = asyncio.ensure_future(self._call(process))
         await process.departure.carry_out()
         calls.cancel()
--- a/packages/relay/tests/relay/test_caller.py
+++ b/packages/relay/tests/relay/test_caller.py
@@ -287,7 +287,7 @@
             budget=SimpleNamespace(on_request=lambda service, now: None),
         ),
         SimpleNamespace(serve=fails),
-        SimpleNamespace(takes=lambda *request: True, leaving=False),
+        SimpleNamespace(accepts=lambda *request: True, draining=False),
         SimpleNamespace(failed=caller_log.append),
         asyncio.get_running_loop().time,
         lambda: 0.0,
--- a/packages/relay/tests/relay/test_endings.py
+++ b/packages/relay/tests/relay/test_endings.py
@@ -17,7 +17,7 @@
 from lacewingcourse.relay.endings import Endings
 from lacewingcourse.relay.leaving import BALANCER_DELAY
 from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
-from lacewingcourse.relay.readiness import END_MARGIN, Readiness
+from lacewingcourse.relay.readiness import SHUTDOWN_MARGIN, Readiness
 
 from .network import Network
 from .restarts import GRACE, INTERVAL, MAX_EVENTS, Restarts
@@ -27,7 +27,7 @@
 #: When the entry was asked to end, and the time of the tests.
 ASKED, NOW = 10.0, 12.0
 #: When it must have ended.
-LAST = ASKED + GRACE - END_MARGIN
+LAST = ASKED + GRACE - SHUTDOWN_MARGIN
 
 
 class Caller(SimpleNamespace):
@@ -58,7 +58,7 @@
             until=until,
         )
         readiness = Readiness(beliefs, GRACE)
-        readiness.leave(ASKED)
+        readiness.start_drain(ASKED)
         gateway = SimpleNamespace(
             beliefs=beliefs, jobs={caller: job} if routed else {}, serving=set()
         )
@@ -70,7 +70,7 @@
 
 def test_an_entry_that_is_not_ending_expects_no_end(open_for):
     endings = open_for()
-    endings.readiness.leaving_since = None
+    endings.readiness.drain_started_at = None
     assert endings.ends_in() is None
 
 
@@ -139,7 +139,7 @@
             restarts.start(name)
         await asyncio.sleep(1.0)
         ending = restarts.processes["entry-1"]
-        ending.gateway.readiness.leave(restarts.clock())
+        ending.gateway.readiness.start_drain(restarts.clock())
         await asyncio.sleep(0.5)
         end = 1.0 + BALANCER_DELAY
         assert heard_end(restarts, "entry-1") == pytest.approx([end, end], abs=0.02)
--- a/packages/relay/tests/relay/test_last_moment.py
+++ b/packages/relay/tests/relay/test_last_moment.py
@@ -56,7 +56,7 @@
         self.clock = self.gateway.clock
         readiness = self.gateway.readiness = Readiness(Beliefs(), self.grace)
         self.callers = CallerConnections(
-            self.gateway.serve, self.clock, lambda: readiness.leaving
+            self.gateway.serve, self.clock, lambda: readiness.draining
         )
         self.front = Front(self.callers)
         self.front.conn_params.header_timeout = None
@@ -82,7 +82,7 @@
 
     async def end(self, happens) -> None:
         """End, and let something happen at the last look."""
-        self.gateway.readiness.leave(self.clock())
+        self.gateway.readiness.start_drain(self.clock())
         departure = LastLook(
             self.gateway.readiness,
             self.callers,
--- a/packages/relay/tests/relay/test_last_requests.py
+++ b/packages/relay/tests/relay/test_last_requests.py
@@ -197,7 +197,7 @@
     clock = asyncio.get_running_loop().time
     entry.call(MAX_EVENTS)
     await asyncio.sleep(INTERVAL)
-    entry.gateway.readiness.leave(clock())
+    entry.gateway.readiness.start_drain(clock())
     ending = asyncio.ensure_future(entry.departure.carry_out())
     await asyncio.sleep(after)
     caller = entry.call(MAX_EVENTS, patience=patience)
@@ -274,7 +274,7 @@
     async def test():
         leaving = entry(choice)
         await leaving.call(1).task
-        leaving.gateway.readiness.leave(asyncio.get_running_loop().time())
+        leaving.gateway.readiness.start_drain(asyncio.get_running_loop().time())
         await leaving.call(1).task
         assert leaving.gateway.log.events.count("last_request") == 1
 
@@ -290,7 +290,7 @@
     async def test():
         leaving = entry(DEFAULT)
         await leaving.serve_usual_answers()
-        leaving.gateway.readiness.leave(asyncio.get_running_loop().time())
+        leaving.gateway.readiness.start_drain(asyncio.get_running_loop().time())
         ending = asyncio.ensure_future(leaving.departure.carry_out())
         leaving.call(MAX_EVENTS)
         await asyncio.sleep(after)
--- a/packages/relay/tests/relay/test_leaving.py
+++ b/packages/relay/tests/relay/test_leaving.py
@@ -78,7 +78,7 @@
 async def leave(entry, connections) -> None:
     """Ask an entry to end and wait until it has."""
     readiness = Readiness(Beliefs(), GRACE)
-    readiness.leave(entry.clock())
+    readiness.start_drain(entry.clock())
     await Departure(readiness, connections, entry, entry.clock).carry_out()
 
 
@@ -273,7 +273,7 @@
             writer.write(REQUEST % 0)
             while not entry.serving:
                 await asyncio.sleep(0)
-            entry.readiness.leave(entry.clock())
+            entry.readiness.start_drain(entry.clock())
             head, _ = await read_answer(reader)
             assert head.startswith(b"HTTP/1.1 503")
             assert b"Retry-After: 0.3" in head
--- a/packages/relay/tests/relay/test_readiness.py
+++ b/packages/relay/tests/relay/test_readiness.py
@@ -13,7 +13,7 @@
     take_until_redirected,
 )
 from lacewingcourse.relay.beliefs import Beliefs
-from lacewingcourse.relay.readiness import END_MARGIN, Readiness
+from lacewingcourse.relay.readiness import SHUTDOWN_MARGIN, Readiness
 
 from .routes import route_of
 
@@ -26,78 +26,80 @@
 
 
 @pytest.fixture
-def leaving() -> Readiness:
+def draining() -> Readiness:
     """An entry that was asked to end at 10, and once more at 12."""
     readiness = Readiness(Beliefs(), GRACE, take_expected)
-    readiness.leave(now=10.0)
-    readiness.leave(now=12.0)
+    readiness.start_drain(now=10.0)
+    readiness.start_drain(now=12.0)
     return readiness
 
 
-def takes(readiness, route, now, until=FAR) -> bool:
+def accepts(readiness, route, now, deadline=FAR) -> bool:
     """Tell whether an entry takes a request of a route."""
-    return readiness.takes(route.name, now, until)
+    return readiness.accepts(route.name, now, deadline)
 
 
 def test_an_entry_without_configuration_is_not_ready():
     assert not Readiness(Beliefs(), GRACE).is_ready()
 
 
-def test_an_entry_with_configuration_is_ready_until_it_leaves():
+def test_entry_with_configuration_is_ready_until_it_drains():
     readiness = Readiness(Beliefs(table=RoutingTable(1, {}, {}, Limits())), GRACE)
     assert readiness.is_ready()
-    assert takes(readiness, ROOMS, 5.0)
-    readiness.leave(now=10.0)
+    assert accepts(readiness, ROOMS, 5.0)
+    readiness.start_drain(now=10.0)
     assert not readiness.is_ready()
 
 
-def test_an_entry_that_leaves_takes_unknown_requests_for_a_while_only(leaving):
-    last = 10.0 + GRACE - END_MARGIN - UNKNOWN_SHARE * GRACE
-    assert takes(leaving, ROOMS, last - 0.01)
-    assert not takes(leaving, ROOMS, last + 0.01)
+def test_draining_entry_accepts_routes_of_unknown_duration_for_a_limited_time(draining):
+    last = 10.0 + GRACE - SHUTDOWN_MARGIN - UNKNOWN_SHARE * GRACE
+    assert accepts(draining, ROOMS, last - 0.01)
+    assert not accepts(draining, ROOMS, last + 0.01)
 
 
 @pytest.mark.parametrize("grace", [3.0, 8.0, 30.0])
 @pytest.mark.parametrize("length", [0.1, 1.5, 2.6])
-def test_an_entry_that_leaves_takes_what_will_end_in_time(grace, length):
+def test_draining_entry_accepts_requests_expected_to_end_in_time(grace, length):
     """With 2.8 seconds whatever the grace, 47 requests were refused in vain."""
     readiness = Readiness(Beliefs(), grace, take_expected)
     for number in range(100):
         readiness.beliefs.durations.note("rooms", length * (0.5 + number / 200))
-    readiness.leave(now=10.0)
-    latest = 10.0 + grace - END_MARGIN - length
-    assert takes(readiness, ROOMS, latest - 0.01)
-    assert not takes(readiness, ROOMS, latest + 0.1 * length)
+    readiness.start_drain(now=10.0)
+    latest = 10.0 + grace - SHUTDOWN_MARGIN - length
+    assert accepts(readiness, ROOMS, latest - 0.01)
+    assert not accepts(readiness, ROOMS, latest + 0.1 * length)
 
 
-def test_answers_of_one_route_say_nothing_of_another(leaving):
+def test_durations_of_one_route_do_not_affect_another(draining):
     for _ in range(20):
-        leaving.beliefs.durations.note("calls", 0.05)
-    assert takes(leaving, CALLS, 17.0)
-    assert not takes(leaving, ROOMS, 17.0)
+        draining.beliefs.durations.note("calls", 0.05)
+    assert accepts(draining, CALLS, 17.0)
+    assert not accepts(draining, ROOMS, 17.0)
 
 
 @pytest.mark.parametrize("choice", [take_expected, take_limited, take_until_redirected])
-def test_what_is_over_before_the_end_is_taken_to_the_last(leaving, choice):
-    leaving.takes_last = choice
-    end = 10.0 + GRACE - END_MARGIN
-    assert takes(leaving, ROOMS, end - 0.6, until=end)
-    assert not takes(leaving, ROOMS, end - 0.5, until=end + 0.1)
+def test_request_with_deadline_before_the_drain_deadline_is_always_accepted(
+    draining, choice
+):
+    draining.accept_policy = choice
+    end = 10.0 + GRACE - SHUTDOWN_MARGIN
+    assert accepts(draining, ROOMS, end - 0.6, deadline=end)
+    assert not accepts(draining, ROOMS, end - 0.5, deadline=end + 0.1)
 
 
 @pytest.mark.parametrize("usual", [0.01, 0.5, 2.0])
-def test_what_answers_took_before_bounds_no_later_one(leaving, usual):
+def test_past_durations_do_not_bound_requests_after_the_redirect_time(draining, usual):
     for _ in range(64):
-        leaving.beliefs.durations.note("rooms", usual)
-        leaving.beliefs.durations.note_stream("rooms", 0.1 * usual, 0.01 * usual)
-    leaving.takes_last = take_until_redirected
+        draining.beliefs.durations.note("rooms", usual)
+        draining.beliefs.durations.note_stream("rooms", 0.1 * usual, 0.01 * usual)
+    draining.accept_policy = take_until_redirected
     redirected = 10.0 + REDIRECT_TIME
-    assert takes(leaving, ROOMS, redirected - 0.01)
-    assert not takes(leaving, ROOMS, redirected + 0.01)
-    assert takes(leaving, ROOMS, redirected + 0.01, until=17.0)
+    assert accepts(draining, ROOMS, redirected - 0.01)
+    assert not accepts(draining, ROOMS, redirected + 0.01)
+    assert accepts(draining, ROOMS, redirected + 0.01, deadline=17.0)
 
 
-def test_a_stream_is_taken_by_its_limit_alone_if_an_operator_wants_it(leaving):
-    leaving.takes_last = take_limited
-    assert not takes(leaving, ROOMS, 11.0)
-    assert takes(leaving, ROOMS, 11.0, until=17.0)
+def test_limited_policy_accepts_streams_by_their_deadline_only(draining):
+    draining.accept_policy = take_limited
+    assert not accepts(draining, ROOMS, 11.0)
+    assert accepts(draining, ROOMS, 11.0, deadline=17.0)
--- a/packages/relay/tests/relay/test_request_to_end.py
+++ b/packages/relay/tests/relay/test_request_to_end.py
@@ -33,7 +33,7 @@
             readiness=readiness,
             clock=lambda: NOW,
             watch=SimpleNamespace(previous_look=BEFORE),
-            ingress=SimpleNamespace(leave=readiness.leave, tell_leaving=ends_in),
+            ingress=SimpleNamespace(leave=readiness.start_drain, tell_leaving=ends_in),
             log=Lines(),
             started=[],
             told=[],
@@ -47,7 +47,7 @@
         )
         entry._leave = lambda: "departure"
         entry._start = entry.started.append
-        entry._tell_peers = lambda: entry.told.append(entry.readiness.leaving)
+        entry._tell_peers = lambda: entry.told.append(entry.readiness.draining)
         return entry
 
     return make
@@ -56,7 +56,7 @@
 def test_the_grace_time_counts_from_before_a_loop_that_was_held_up(make_application):
     entry = make_application()
     Application._on_term(entry)
-    assert entry.readiness.leaving_since == BEFORE
+    assert entry.readiness.drain_started_at == BEFORE
 
 
 def test_other_entries_are_told_of_the_request_to_end_at_once(make_application):
@@ -85,9 +85,9 @@
     entry = make_application()
     if leaves:
         Application._on_term(entry)
-    last = entry.readiness.last
+    last = entry.readiness.drain_deadline
     Application._on_thaw(entry, 2.0)
-    assert entry.readiness.last == pytest.approx(last - counted)
+    assert entry.readiness.drain_deadline == pytest.approx(last - counted)
 
 
 @pytest.mark.parametrize("leaves", [True, False])
@@ -101,7 +101,7 @@
         entry.ready_in = lambda: BACK
         entry.readiness = Readiness(Beliefs(), GRACE)
         if leaves:
-            entry.readiness.leave(entry.clock())
+            entry.readiness.start_drain(entry.clock())
         async with serving_connections(entry.serve) as (address, _):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(REQUEST % 0)
--- a/packages/relay/tests/relay/test_staleness.py
+++ b/packages/relay/tests/relay/test_staleness.py
@@ -78,7 +78,7 @@
             codec=None,
             calls=None,
             streams=None,
-            readiness=SimpleNamespace(leaving=False, takes=lambda *request: True),
+            readiness=SimpleNamespace(draining=False, accepts=lambda *request: True),
             log=None,
             clock=loop.time,
             ready_in=lambda: 0.0,
