--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -423,6 +423,6 @@
     async def _leave(self) -> None:
         """End when the callers' requests have their ends, or cannot get them."""
         try:
-            await self.ingress.departure.carry_out()
+            await self.ingress.drainer.run()
         finally:
             self.ended.set()
--- a/packages/relay/src/lacewingcourse/relay/leaving.py
+++ b/packages/relay/src/lacewingcourse/relay/drain.py
@@ -18,14 +18,14 @@
 #: balancer asks once a second and takes an instance out after two misses.
 BALANCER_DELAY = 3.2
 #: Seconds between two looks at what is still open.
-LOOK_PERIOD = 0.05
+POLL_INTERVAL = 0.05
 #: Seconds of those kept for the end in which what callers have sent is read and
 #: refused, and the last answers are written out.
-WRITING_TIME = 0.1
+FLUSH_TIMEOUT = 0.1
 
 
 @attrs.define
-class Departure:
+class Drainer:
     """Ends the entry when callers need it no more, in time at the latest.
 
     Attributes:
@@ -42,40 +42,42 @@
     gateway: Gateway
     clock: Callable[[], float]
     stop_listening: Callable[[], None] = lambda: None
-    close_idle: Callable[[Collection[CallerExchange]], None] = lambda unended: None
+    close_idle: Callable[[Collection[CallerExchange]], None] = (
+        lambda open_requests: None
+    )
 
-    async def carry_out(self) -> None:
+    async def run(self) -> None:
         """Wait for the callers' answers, and end what has none in time."""
-        while not self._is_over(self.clock()):
-            await asyncio.sleep(LOOK_PERIOD)
+        while not self._is_drained(self.clock()):
+            await asyncio.sleep(POLL_INTERVAL)
         # With no wait since the look, nothing was taken that it did not count.
         self.readiness.closed = True
         self.stop_listening()
-        self._cut_short()
-        await self._write_out()
+        self._abort_open_requests()
+        await self._flush()
 
-    def _cut_short(self) -> None:
+    def _abort_open_requests(self) -> None:
         """End what has no end.
 
         With the loop ends every task, and a caller whose task is merely dropped sees
         its connection closed without a word.
         """
         for caller in list(self.callers.open):
-            self.gateway.cut_short(caller, self.clock())
+            self.gateway.abort(caller, self.clock())
 
-    async def _write_out(self) -> None:
+    async def _flush(self) -> None:
         """Refuse what callers have sent, and wait for answers to leave this process."""
-        until = self.clock() + WRITING_TIME
+        until = self.clock() + FLUSH_TIMEOUT
         while True:
             # A timer wakes this up once all that was read has been told, and before
             # more is read: no connection is closed on which a request was read.
-            await asyncio.sleep(LOOK_PERIOD)
-            self._cut_short()
+            await asyncio.sleep(POLL_INTERVAL)
+            self._abort_open_requests()
             self.close_idle(self.callers.open)
             if not self.callers.open or self.clock() >= until:
                 return
 
-    def _is_over(self, now: float) -> bool:
+    def _is_drained(self, now: float) -> bool:
         """Tell whether nothing is waited for any more."""
         if now >= self.readiness.drain_deadline:
             return True
--- a/packages/relay/src/lacewingcourse/relay/endings.py
+++ b/packages/relay/src/lacewingcourse/relay/endings.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lacewingcourse.core.pipelines.ending import expected_end
-from lacewingcourse.relay.leaving import BALANCER_DELAY
+from lacewingcourse.relay.drain import BALANCER_DELAY
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/relay/src/lacewingcourse/relay/front.py
+++ b/packages/relay/src/lacewingcourse/relay/front.py
@@ -66,12 +66,12 @@
                 return
             self.handle_stream(IOStream(connection), address)
 
-    def close_idle(self, unended: Collection[CallerExchange]) -> None:
+    def close_idle(self, open_requests: Collection[CallerExchange]) -> None:
         """Close all connections but those of some requests.
 
         Args:
             unended: Requests whose answers have not left this process.
         """
-        busy = {caller.connection.stream for caller in unended}
+        busy = {caller.connection.stream for caller in open_requests}
         for stream in self.streams.difference(busy):
             stream.close()
--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -93,7 +93,7 @@
             self.jobs.pop(caller, None)
             self.serving.discard(caller)
 
-    def cut_short(self, caller: CallerExchange, now: float) -> None:
+    def abort(self, caller: CallerExchange, now: float) -> None:
         """End a request for which no time is left, whatever happens.
 
         Its task is stopped first, so that nothing is sent for it any more and nothing
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 from lacewingcourse.relay.caller import MOST_HEAD, CallerConnections
+from lacewingcourse.relay.drain import Drainer
 from lacewingcourse.relay.endings import Endings
 from lacewingcourse.relay.front import Front
 from lacewingcourse.relay.gateway import Gateway
-from lacewingcourse.relay.leaving import Departure
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -86,7 +86,7 @@
         self.front = Front(self.callers, max_header_size=MOST_HEAD)
         # Idle connections are closed by `IdleWatch`.
         self.front.conn_params.header_timeout = None
-        self.departure = Departure(
+        self.drainer = Drainer(
             readiness,
             self.callers,
             self.gateway,
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/restarts.py
@@ -17,10 +17,10 @@
 from lacewingcourse.core.pipelines.shape import EngineShape
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
 from lacewingcourse.relay.beliefs import Beliefs
+from lacewingcourse.relay.drain import Drainer
 from lacewingcourse.relay.endings import Endings
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.gossip import Gossip
-from lacewingcourse.relay.leaving import Departure
 from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
 from lacewingcourse.relay.peers import PERIOD
 from lacewingcourse.relay.readiness import Readiness
@@ -88,14 +88,14 @@
     """
 
     gateway: Gateway
-    departure: Departure
+    drainer: Drainer
     gossip: Gossip
 
     def call(self, events: int) -> Caller:
         """Send it a request whose answer has a number of events."""
         caller = Caller(events, self.gateway.clock())
         caller.task = asyncio.ensure_future(self.gateway.serve(caller))
-        callers = self.departure.callers.open
+        callers = self.drainer.callers.open
         callers.add(caller)
         caller.task.add_done_callback(lambda task: callers.discard(caller))
         return caller
@@ -209,8 +209,8 @@
             self.clock,
             endings.ends_in,
         )
-        departure = Departure(readiness, callers, gateway, self.clock)
-        return Process(gateway, departure, gossip)
+        drainer = Drainer(readiness, callers, gateway, self.clock)
+        return Process(gateway, drainer, gossip)
 
     async def _speak(self, name: str, process: Process) -> None:
         """Speak with the other entries as long as a process runs."""
@@ -237,7 +237,7 @@
         process = self.processes[name]
         process.gateway.readiness.start_drain(self.clock())
         calls = asyncio.ensure_future(self._call(process))
-        await process.departure.carry_out()
+        await process.drainer.run()
         calls.cancel()
         del self.processes[name]
         await asyncio.sleep(self.rng.uniform(LEAST_BACK, RESTART_TIME + START_TIME))
--- a/packages/relay/tests/relay/test_leaving.py
+++ b/packages/relay/tests/relay/test_drain.py
@@ -10,8 +10,8 @@
 
 from lacewingcourse.relay.application import Application
 from lacewingcourse.relay.beliefs import Beliefs
+from lacewingcourse.relay.drain import Drainer
 from lacewingcourse.relay.gateway import Gateway
-from lacewingcourse.relay.leaving import Departure
 from lacewingcourse.relay.readiness import Readiness
 
 from .test_caller import REQUEST, gateway, read_answer, run, serving_connections
@@ -19,28 +19,28 @@
 #: Seconds in which the entry must have ended.
 GRACE = 1.0
 #: Seconds after which another entry takes connections.
-BACK = 0.3
+OTHER_ENTRY_READY_IN = 0.3
 
 
-class Sent:
+class EndlessExchange:
     """A request that an endpoint works on without end."""
 
     def __init__(self) -> None:
-        self.stopped = False
+        self.abandoned = False
 
     def abandon(self) -> None:
         """Stop the endpoint's work."""
-        self.stopped = True
+        self.abandoned = True
 
 
-class Lines:
+class LogRecorder:
     """The log of decisions: the names of its lines."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.events: list[str] = []
 
     def __getattr__(self, name: str):
-        return lambda *args, **fields: self.told.append(name)
+        return lambda *args, **fields: self.events.append(name)
 
 
 def refusal(refused, request):
@@ -51,62 +51,62 @@
     return refused.answer.status, headers, b""
 
 
-def entry_with(forward, lines) -> Gateway:
+def entry_with(forward, log) -> Gateway:
     """Return a gateway that forwards streams in some way."""
     found = gateway(forward, [])
-    found.log = lines
+    found.log = log
     found.codec.refusal = refusal
-    found.ready_in = lambda: BACK
+    found.ready_in = lambda: OTHER_ENTRY_READY_IN
     found.rng = SimpleNamespace(uniform=lambda low, high: low)
     return found
 
 
-def failing_once(work, lines):
+def failing_once(work, log):
     """Return a function that has a defect the first time, and then does its work."""
     failed = []
 
-    def run_once(*args):
+    def fail_then_work(*args):
         if failed:
             return work(*args)
         failed.append(True)
-        lines.told.append("raised")
+        log.events.append("raised")
         raise ValueError("a defect")
 
-    return run_once
+    return fail_then_work
 
 
-async def leave(entry, connections) -> None:
+async def drain(entry, connections) -> None:
     """Ask an entry to end and wait until it has."""
     readiness = Readiness(Beliefs(), GRACE)
     readiness.start_drain(entry.clock())
-    await Departure(readiness, connections, entry, entry.clock).carry_out()
+    await Drainer(readiness, connections, entry, entry.clock).run()
 
 
-def test_a_request_that_was_not_sent_may_come_back_when_the_entry_ends():
-    lines = Lines()
+def test_unsent_request_gets_503_with_retry_after_at_the_drain_deadline():
+    log = LogRecorder()
 
     async def waits(job, shape):
         await asyncio.Event().wait()
 
     async def test():
-        entry = entry_with(waits, lines)
+        entry = entry_with(waits, log)
         async with serving_connections(entry.serve) as (address, connections):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(REQUEST % 0)
-            await leave(entry, connections)
+            await drain(entry, connections)
             head, _ = await read_answer(reader)
             assert head.startswith(b"HTTP/1.1 503")
             assert b"Retry-After: 0.3" in head
-            assert lines.told == ["refused"]
+            assert log.events == ["refused"]
             assert not entry.jobs
 
     run(test)
 
 
 @pytest.mark.parametrize("begun", [False, True])
-def test_what_an_endpoint_does_is_stopped_when_the_entry_ends(begun):
-    lines = Lines()
-    sent = Sent()
+def test_exchange_with_the_endpoint_is_abandoned_at_the_drain_deadline(begun):
+    log = LogRecorder()
+    sent = EndlessExchange()
 
     async def sends(job, shape):
         job.current = sent
@@ -118,34 +118,34 @@
             job.current = None
 
     async def test():
-        entry = entry_with(sends, lines)
+        entry = entry_with(sends, log)
         async with serving_connections(entry.serve) as (address, connections):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(REQUEST % 0)
-            await leave(entry, connections)
+            await drain(entry, connections)
             if begun:
                 assert (await reader.read()).endswith(b"4\r\nsome\r\n")
             else:
                 head, _ = await read_answer(reader)
                 assert head.startswith(b"HTTP/1.1 502")
                 assert b"Retry-After" not in head
-        assert sent.stopped
-        assert lines.told == ["broken_off" if begun else "refused"]
+        assert sent.abandoned
+        assert log.events == ["broken_off" if begun else "refused"]
 
     run(test)
 
 
-def test_a_request_whose_body_is_on_its_way_may_come_back_when_the_entry_ends():
-    lines = Lines()
+def test_request_with_a_partial_body_gets_503_at_the_drain_deadline():
+    log = LogRecorder()
 
     async def test():
-        entry = entry_with(None, lines)
+        entry = entry_with(None, log)
         async with serving_connections(entry.serve) as (address, connections):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf")
             while not connections.open:
                 await asyncio.sleep(0)
-            await leave(entry, connections)
+            await drain(entry, connections)
             head, _ = await read_answer(reader)
             assert head.startswith(b"HTTP/1.1 503")
             assert not connections.open
@@ -153,7 +153,7 @@
     run(test)
 
 
-def test_a_request_counts_until_its_answer_has_left_the_process():
+def test_request_is_open_until_its_answer_is_flushed():
     size = 32 * 1024 * 1024
 
     async def large(exchange):
@@ -174,7 +174,7 @@
     run(test)
 
 
-def test_a_request_whose_caller_leaves_is_open_no_more():
+def test_request_of_a_disconnected_caller_is_not_open():
     async def test():
         async with serving_connections(None) as (address, connections):
             _, writer = await asyncio.open_connection(*address)
@@ -188,7 +188,7 @@
     run(test)
 
 
-def test_nothing_is_passed_on_behind_a_last_answer_that_is_read_slowly():
+def test_pipelined_request_is_not_served_after_the_last_answer_to_a_slow_reader():
     size = 32 * 1024 * 1024
     served = []
 
@@ -210,8 +210,8 @@
 
 
 @pytest.mark.parametrize("begun", [False, True])
-def test_a_defect_in_the_end_of_one_request_takes_no_end_from_others(begun):
-    lines = Lines()
+def test_exception_while_aborting_one_request_does_not_affect_others(begun):
+    log = LogRecorder()
 
     async def waits(job, shape):
         if begun:
@@ -219,9 +219,9 @@
         await asyncio.Event().wait()
 
     async def test():
-        entry = entry_with(waits, lines)
-        entry.codec.refusal = failing_once(refusal, lines)
-        lines.broken_off = failing_once(lambda *args: lines.told.append("end"), lines)
+        entry = entry_with(waits, log)
+        entry.codec.refusal = failing_once(refusal, log)
+        log.broken_off = failing_once(lambda *args: log.events.append("end"), log)
         leaving = serving_connections(entry.serve, last=lambda: True)
         async with leaving as (address, connections):
             callers = [await asyncio.open_connection(*address) for _ in range(3)]
@@ -229,28 +229,28 @@
                 writer.write(REQUEST % 0)
             while len(entry.jobs) < len(callers):
                 await asyncio.sleep(0)
-            await leave(entry, connections)
+            await drain(entry, connections)
             assert not connections.open
             ends = sorted([await reader.read() for reader, _ in callers])
         if begun:
             assert all(end.endswith(b"4\r\nsome\r\n") for end in ends)
-            assert lines.told == ["raised", "failed", "end", "end"]
+            assert log.events == ["raised", "failed", "end", "end"]
         else:
             assert ends[0] == b""
             assert all(end.startswith(b"HTTP/1.1 503") for end in ends[1:])
-            assert lines.told.count("failed") == 1
+            assert log.events.count("failed") == 1
 
     run(test)
 
 
-def test_a_process_whose_departure_has_a_defect_ends():
-    class Broken:
-        async def carry_out(self):
+def test_process_ends_when_its_drainer_raises():
+    class FailingDrainer:
+        async def run(self):
             raise ValueError("a defect")
 
     async def test():
         entry = object.__new__(Application)
-        entry.ingress = SimpleNamespace(departure=Broken())
+        entry.ingress = SimpleNamespace(drainer=FailingDrainer())
         entry.ended = asyncio.Event()
         with pytest.raises(ValueError, match="a defect"):
             await entry._leave()
@@ -259,11 +259,11 @@
     run(test)
 
 
-def test_a_request_held_for_the_first_configuration_is_refused_once_the_entry_ends():
-    lines = Lines()
+def test_request_waiting_for_the_first_configuration_is_refused_once_the_entry_drains():
+    log = LogRecorder()
 
     async def test():
-        entry = entry_with(None, lines)
+        entry = entry_with(None, log)
         entry.beliefs.table = None
         entry.readiness = Readiness(Beliefs(), GRACE)
         # The time for which it is held at the most is never over.
@@ -277,13 +277,13 @@
             head, _ = await read_answer(reader)
             assert head.startswith(b"HTTP/1.1 503")
             assert b"Retry-After: 0.3" in head
-            assert lines.told == ["refused"]
+            assert log.events == ["refused"]
 
     run(test)
 
 
 @pytest.mark.parametrize("size", [4, 32 * 1024 * 1024])
-def test_a_request_sent_ahead_is_open_before_the_one_ahead_of_it_is_open_no_more(size):
+def test_pipelined_request_is_open_before_the_previous_one_closes(size):
     """A connection on which nothing is open is closed by an entry that ends."""
     served = []
 
--- a/packages/relay/tests/relay/test_last_moment.py
+++ b/packages/relay/tests/relay/test_drain_races.py
@@ -10,33 +10,33 @@
 import pytest
 from tornado.httputil import HTTPHeaders
 
-from lacewingcourse.relay import leaving
+from lacewingcourse.relay import drain
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.caller import CallerConnections
+from lacewingcourse.relay.drain import Drainer
 from lacewingcourse.relay.front import Front
-from lacewingcourse.relay.leaving import Departure
 from lacewingcourse.relay.readiness import Readiness
 
 from .test_caller import REQUEST, run
-from .test_leaving import Lines, entry_with
+from .test_drain import LogRecorder, entry_with
 
 #: Seconds after which an entry ends of which nothing is open.
-QUIET_AFTER = 0.3
+DRAIN_AFTER = 0.3
 #: Seconds in which the entry must have ended: less than that, and much more.
 GRACE = (0.6, 8.0)
 #: Turns of the loop that pass between the end of the departure and that of the process.
-LAST_TURNS = 10
-BODY = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf"
+LOOP_ITERATIONS_AFTER_DRAIN = 10
+PARTIAL_BODY = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf"
 
 
-class LastLook(Departure):
+class DrainerWithHook(Drainer):
     """A departure at whose last look something happens that it cannot see."""
 
-    def _is_over(self, now: float) -> bool:
-        over = super()._is_over(now)
-        if over:
-            self.happens()
-        return over
+    def _is_drained(self, now: float) -> bool:
+        is_drained = super()._is_drained(now)
+        if is_drained:
+            self.hook()
+        return is_drained
 
 
 @attrs.define(slots=False)
@@ -49,10 +49,10 @@
     """
 
     grace: float
-    passed_on: list[str] = attrs.field(factory=list)
+    forwarded: list[str] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        self.gateway = entry_with(self._pass_on, Lines())
+        self.gateway = entry_with(self._forward, LogRecorder())
         self.clock = self.gateway.clock
         readiness = self.gateway.readiness = Readiness(Beliefs(), self.grace)
         self.callers = CallerConnections(
@@ -64,15 +64,15 @@
         (listening,) = self.front.listening
         self.address = listening.getsockname()
 
-    async def _pass_on(self, job, shape) -> None:
-        self.passed_on.append(job.request.target)
+    async def _forward(self, job, shape) -> None:
+        self.forwarded.append(job.request.target)
         job.caller.answer(200, HTTPHeaders(), b"done")
 
     def connect(self) -> socket.socket:
         """Return a connection of a caller, which the entry may not know of yet."""
         return socket.create_connection(self.address)
 
-    async def kept(self) -> socket.socket:
+    async def connect_idle(self) -> socket.socket:
         """Return a connection of a caller that the entry waits on."""
         made = self.connect()
         while not self.front.streams:
@@ -80,10 +80,10 @@
         await asyncio.sleep(0.01)
         return made
 
-    async def end(self, happens) -> None:
+    async def end(self, hook) -> None:
         """End, and let something happen at the last look."""
         self.gateway.readiness.start_drain(self.clock())
-        departure = LastLook(
+        drainer = DrainerWithHook(
             self.gateway.readiness,
             self.callers,
             self.gateway,
@@ -91,16 +91,16 @@
             self.front.stop_listening,
             self.front.close_idle,
         )
-        departure.happens = happens
-        await departure.carry_out()
-        for _ in range(LAST_TURNS):
+        drainer.hook = hook
+        await drainer.run()
+        for _ in range(LOOP_ITERATIONS_AFTER_DRAIN):
             await asyncio.sleep(0)
 
 
 @pytest.fixture(params=GRACE)
 def make_entry(request, monkeypatch):
     """Return what makes an entry that ends soon, in want of time or of requests."""
-    monkeypatch.setattr(leaving, "BALANCER_DELAY", QUIET_AFTER)
+    monkeypatch.setattr(drain, "BALANCER_DELAY", DRAIN_AFTER)
     return lambda: Entry(request.param)
 
 
@@ -116,15 +116,15 @@
     return received
 
 
-@pytest.mark.parametrize("request_bytes", [REQUEST % 0, BODY])
-def test_a_request_on_a_kept_connection_is_not_passed_on_after_the_last_look(
+@pytest.mark.parametrize("request_bytes", [REQUEST % 0, PARTIAL_BODY])
+def test_request_on_an_idle_connection_is_not_forwarded_after_the_drain(
     make_entry, request_bytes
 ):
     async def test():
         entry = make_entry()
-        caller = await entry.kept()
+        caller = await entry.connect_idle()
         await entry.end(lambda: caller.sendall(request_bytes))
-        assert entry.passed_on == []
+        assert entry.forwarded == []
         answer = read_all(caller)
         assert answer.startswith(b"HTTP/1.1 503")
         assert b"Retry-After: 0.3" in answer
@@ -132,7 +132,9 @@
     run(test)
 
 
-def test_a_request_that_waits_to_be_accepted_is_refused_with_an_answer(make_entry):
+def test_request_on_a_connection_in_the_accept_queue_is_refused_with_an_answer(
+    make_entry,
+):
     async def test():
         entry = make_entry()
         made = SimpleNamespace()
@@ -142,13 +144,13 @@
             made.caller.sendall(REQUEST % 0)
 
         await entry.end(connect)
-        assert entry.passed_on == []
+        assert entry.forwarded == []
         assert read_all(made.caller).startswith(b"HTTP/1.1 503")
 
     run(test)
 
 
-def test_an_entry_that_has_ended_refuses_connections(make_entry):
+def test_drained_entry_refuses_connections(make_entry):
     async def test():
         entry = make_entry()
         await entry.end(lambda: None)
@@ -159,12 +161,12 @@
 
 
 @pytest.mark.parametrize("begun", [b"", b"POST / HTTP/1.1\r\nHost:"])
-def test_an_entry_that_has_ended_reads_no_connection(make_entry, begun):
+def test_drained_entry_closes_idle_connections(make_entry, begun):
     """A request that comes now is one that its caller may send elsewhere."""
 
     async def test():
         entry = make_entry()
-        caller = await entry.kept()
+        caller = await entry.connect_idle()
         caller.sendall(begun)
         await entry.end(lambda: None)
         assert entry.front.streams == set()
@@ -173,25 +175,25 @@
     run(test)
 
 
-def test_what_is_read_up_to_the_end_has_an_answer(make_entry):
+def test_every_request_read_before_the_end_is_answered(make_entry):
     """Callers that go on sending get a whole answer for what was read, or none."""
 
     async def test():
         entry = make_entry()
         callers = [entry.connect() for _ in range(20)]
-        unread = list(callers)
+        not_sent = list(callers)
 
-        async def go_on() -> None:
-            while unread:
-                unread.pop().sendall(REQUEST % 0)
+        async def keep_sending() -> None:
+            while not_sent:
+                not_sent.pop().sendall(REQUEST % 0)
                 await asyncio.sleep(0.005)
 
         sending = []
-        await entry.end(lambda: sending.append(asyncio.ensure_future(go_on())))
-        assert entry.passed_on == []
+        await entry.end(lambda: sending.append(asyncio.ensure_future(keep_sending())))
+        assert entry.forwarded == []
         assert not entry.callers.open
         sending[0].cancel()
-        answers = [read_all(c) for c in callers if c not in unread]
+        answers = [read_all(c) for c in callers if c not in not_sent]
         assert {a[:12] for a in answers if a} == {b"HTTP/1.1 503"}
 
     run(test)
--- a/packages/relay/tests/relay/test_endings.py
+++ b/packages/relay/tests/relay/test_endings.py
@@ -14,8 +14,8 @@
 from lacewingcourse.relay import decisions
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.decisions import DecisionLog
+from lacewingcourse.relay.drain import BALANCER_DELAY
 from lacewingcourse.relay.endings import Endings
-from lacewingcourse.relay.leaving import BALANCER_DELAY
 from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
 from lacewingcourse.relay.readiness import SHUTDOWN_MARGIN, Readiness
 
--- a/packages/relay/tests/relay/test_last_requests.py
+++ b/packages/relay/tests/relay/test_last_requests.py
@@ -26,8 +26,8 @@
 from lacewingcourse.core.pipelines.routing import Organisation, RetrySafety
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
 from lacewingcourse.relay.beliefs import Beliefs
+from lacewingcourse.relay.drain import Drainer
 from lacewingcourse.relay.gateway import Gateway
-from lacewingcourse.relay.leaving import Departure
 from lacewingcourse.relay.readiness import Readiness
 from lacewingcourse.relay.settings import RelaySettings
 
@@ -90,7 +90,7 @@
     """
 
     gateway: Gateway
-    departure: Departure
+    drainer: Drainer
     slowness: float = 1.0
 
     def call(
@@ -102,9 +102,9 @@
         """Send it a request whose answer has a number of events."""
         caller = Caller(events, max_events, patience, self.interval)
         caller.task = asyncio.ensure_future(self.gateway.serve(caller))
-        self.departure.callers.open.add(caller)
+        self.drainer.callers.open.add(caller)
         caller.task.add_done_callback(
-            lambda task: self.departure.callers.open.discard(caller)
+            lambda task: self.drainer.callers.open.discard(caller)
         )
         return caller
 
@@ -181,7 +181,7 @@
             Random(1),
         )
         callers = SimpleNamespace(open=set())
-        return LeavingEntry(gateway, Departure(readiness, callers, gateway, clock))
+        return LeavingEntry(gateway, Drainer(readiness, callers, gateway, clock))
 
     return make
 
@@ -198,7 +198,7 @@
     entry.call(MAX_EVENTS)
     await asyncio.sleep(INTERVAL)
     entry.gateway.readiness.start_drain(clock())
-    ending = asyncio.ensure_future(entry.departure.carry_out())
+    ending = asyncio.ensure_future(entry.drainer.run())
     await asyncio.sleep(after)
     caller = entry.call(MAX_EVENTS, patience=patience)
     await ending
@@ -291,7 +291,7 @@
         leaving = entry(DEFAULT)
         await leaving.serve_usual_answers()
         leaving.gateway.readiness.start_drain(asyncio.get_running_loop().time())
-        ending = asyncio.ensure_future(leaving.departure.carry_out())
+        ending = asyncio.ensure_future(leaving.drainer.run())
         leaving.call(MAX_EVENTS)
         await asyncio.sleep(after)
         caller = leaving.call(events, max_events=events)
--- a/packages/relay/tests/relay/test_request_to_end.py
+++ b/packages/relay/tests/relay/test_request_to_end.py
@@ -13,14 +13,14 @@
 from lacewingcourse.relay.readiness import Readiness
 
 from .test_caller import REQUEST, read_answer, run, serving_connections
-from .test_leaving import Lines, entry_with
+from .test_drain import LogRecorder, entry_with
 
 #: Seconds in which the entry must have ended.
 GRACE = 8.0
 #: Present time, and when the loop was known to run before it.
 NOW, BEFORE = 10.0, 9.0
 #: Seconds after which another entry takes connections.
-BACK = 4.0
+READY_IN = 4.0
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
             clock=lambda: NOW,
             watch=SimpleNamespace(previous_look=BEFORE),
             ingress=SimpleNamespace(leave=readiness.start_drain, tell_leaving=ends_in),
-            log=Lines(),
+            log=LogRecorder(),
             started=[],
             told=[],
             configuration=SimpleNamespace(
@@ -45,7 +45,7 @@
             budget=SimpleNamespace(drop_loans=lambda: None),
             beliefs=Beliefs(),
         )
-        entry._leave = lambda: "departure"
+        entry._leave = lambda: "drain"
         entry._start = entry.started.append
         entry._tell_peers = lambda: entry.told.append(entry.readiness.draining)
         return entry
@@ -75,7 +75,7 @@
     with pytest.raises(RuntimeError):
         Application._on_term(entry)
     Application._on_term(entry)
-    assert entry.started == ["departure"]
+    assert entry.started == ["drain"]
 
 
 @pytest.mark.parametrize(("leaves", "counted"), [(True, 2.0), (False, 0.0)])
@@ -97,8 +97,8 @@
         return Refusal(kind, "no path has memory", retry_after=0.5)
 
     async def test():
-        entry = entry_with(lacks, Lines())
-        entry.ready_in = lambda: BACK
+        entry = entry_with(lacks, LogRecorder())
+        entry.ready_in = lambda: READY_IN
         entry.readiness = Readiness(Beliefs(), GRACE)
         if leaves:
             entry.readiness.start_drain(entry.clock())
@@ -106,7 +106,7 @@
             reader, writer = await asyncio.open_connection(*address)
             writer.write(REQUEST % 0)
             head, _ = await read_answer(reader)
-        told = BACK if leaves else 0.5
+        told = READY_IN if leaves else 0.5
         assert head.startswith(b"HTTP/1.1 503")
         assert f"Retry-After: {told}\r\n".encode() in head
 
--- a/packages/relay/tests/relay/test_sent_while_ending.py
+++ b/packages/relay/tests/relay/test_sent_while_ending.py
@@ -20,8 +20,8 @@
 
 from .stream_play import Engine, StreamPlay, path_of, whole_answer
 from .test_calls import REJECTED, CallPlay
+from .test_drain import OTHER_ENTRY_READY_IN, LogRecorder, entry_with
 from .test_last_requests import Caller
-from .test_leaving import BACK, Lines, entry_with
 from .virtual_time import play
 
 #: Seconds in which an entry must have ended.
@@ -213,9 +213,9 @@
     async def test():
         caller = Caller(1)
         caller.headers = HTTPHeaders()
-        await entry_with(refuses, Lines()).serve(caller)
+        await entry_with(refuses, LogRecorder()).serve(caller)
         return caller
 
     caller = play(test())
     assert caller.status == 503
-    assert float(caller.headers["Retry-After"]) == BACK
+    assert float(caller.headers["Retry-After"]) == OTHER_ENTRY_READY_IN
