--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -230,7 +230,7 @@
             self.readiness,
             self.log,
             self.clock,
-            self.ingress.endings.ends_in,
+            self.ingress.restart_estimator.ends_in,
             self.boot_clock,
         )
         self.peers = PeerExchange(
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -6,9 +6,9 @@
 
 from lacewingcourse.relay.caller import MOST_HEAD, CallerConnections
 from lacewingcourse.relay.drain import Drainer
-from lacewingcourse.relay.endings import Endings
 from lacewingcourse.relay.front import Front
 from lacewingcourse.relay.gateway import Gateway
+from lacewingcourse.relay.restart_estimate import RestartEstimator
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -74,15 +74,17 @@
             readiness,
             log,
             clock,
-            lambda: self.endings.ready_in(),
+            lambda: self.restart_estimator.ready_in(),
             rng,
-            waits_for=lambda: self.endings.waits_for(),
+            waits_for=lambda: self.restart_estimator.waits_for(),
             guard=guard,
         )
         self.callers = CallerConnections(
             self.gateway.serve, clock, lambda: readiness.draining
         )
-        self.endings = Endings(readiness, self.callers, self.gateway, book, clock)
+        self.restart_estimator = RestartEstimator(
+            readiness, self.callers, self.gateway, book, clock
+        )
         self.front = Front(self.callers, max_header_size=MOST_HEAD)
         # Idle connections are closed by `IdleWatch`.
         self.front.conn_params.header_timeout = None
@@ -118,5 +120,5 @@
 
     def tell_leaving(self) -> None:
         """Tell what is open and when this entry expects to have ended."""
-        ends_in = self.endings.ends_in()
+        ends_in = self.restart_estimator.ends_in()
         self.log.belief("leaving", open=len(self.callers.open), ends_in=ends_in)
--- a/packages/relay/src/lacewingcourse/relay/endings.py
+++ b/packages/relay/src/lacewingcourse/relay/restart_estimate.py
@@ -19,15 +19,15 @@
     from lacewingcourse.relay.readiness import Readiness
 
 #: Rest of an answer of which nothing is known: as long as there is time.
-UNKNOWN_REST = float("inf")
+UNKNOWN_REMAINING = float("inf")
 
 
 #: What a caller waits for while an entry serves.
-ANOTHER = "another entry"
+ANOTHER_ENTRY = "another entry"
 
 
 @attrs.define
-class Endings:
+class RestartEstimator:
     """Expects the end of this entry, and the return of the first.
 
     Attributes:
@@ -47,45 +47,45 @@
     def ends_in(self) -> float | None:
         """Return the seconds until this entry has ended, None if it is not ending."""
         now = self.clock()
-        end = self._own_end(now)
+        end = self._expected_end(now)
         return None if end is None else round(max(0.0, end - now), 3)
 
     def ready_in(self) -> float:
         """Return the seconds until an entry is expected to take connections."""
         now = self.clock()
         grace = self.readiness.grace
-        return self.book.ready_in(grace, now, self._own_end(now))
+        return self.book.ready_in(grace, now, self._expected_end(now))
 
     def waits_for(self) -> str:
         """Return what those seconds rest on, for a log line."""
         now = self.clock()
         grace = self.readiness.grace
-        first = self.book.first_back(grace, now, self._own_end(now))
-        return ANOTHER if first is None else first.describe(now)
+        first = self.book.first_back(grace, now, self._expected_end(now))
+        return ANOTHER_ENTRY if first is None else first.describe(now)
 
-    def _own_end(self, now: float) -> float | None:
+    def _expected_end(self, now: float) -> float | None:
         """Return when this entry is expected to have ended, None if it is not ending.
 
         It never ends while the balancer may still send callers here.
         """
         if not self.readiness.draining:
             return None
-        soonest = self.readiness.drain_started_at + BALANCER_DELAY
-        rests = [self._rest(caller, now) for caller in self.callers.open]
-        return expected_end(soonest, self.readiness.drain_deadline, rests, now)
+        earliest = self.readiness.drain_started_at + BALANCER_DELAY
+        remaining = [self._remaining(caller, now) for caller in self.callers.open]
+        return expected_end(earliest, self.readiness.drain_deadline, remaining, now)
 
-    def _rest(self, caller: CallerExchange, now: float) -> float:
+    def _remaining(self, caller: CallerExchange, now: float) -> float:
         """Return the seconds that an answer is expected to take yet."""
         if caller.ended or caller.gone:
             return 0.0
         job = self.gateway.jobs.get(caller)
         if job is None:
             # A request that is whole but not routed is being decided on.
-            is_whole = caller in self.gateway.serving
-            return 0.0 if is_whole else UNKNOWN_REST
-        return min(self._expected(job, now), job.until - now)
+            is_received = caller in self.gateway.serving
+            return 0.0 if is_received else UNKNOWN_REMAINING
+        return min(self._expected_remaining(job, now), job.until - now)
 
-    def _expected(self, job: Job, now: float) -> float:
+    def _expected_remaining(self, job: Job, now: float) -> float:
         """Return the seconds that what is done for a request takes yet."""
         beliefs = self.gateway.beliefs
         shape = beliefs.shape(job.service)
@@ -93,11 +93,13 @@
         if shape is not None and max_answer:
             max_events = -(-max_answer // shape.event_tokens) - job.events
             has_begun = job.events > 0
-            rest = beliefs.durations.rest_of_stream(job.service, max_events, has_begun)
-            if rest is not None:
-                return rest
+            remaining = beliefs.durations.rest_of_stream(
+                job.service, max_events, has_begun
+            )
+            if remaining is not None:
+                return remaining
         expected = beliefs.durations.expected(job.route.name)
         elapsed = now - job.request.received_at
         if expected is None or elapsed >= expected:
-            return UNKNOWN_REST
+            return UNKNOWN_REMAINING
         return expected - elapsed
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/rolling_restart.py
@@ -18,12 +18,12 @@
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.drain import Drainer
-from lacewingcourse.relay.endings import Endings
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.gossip import Gossip
 from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
 from lacewingcourse.relay.peers import PERIOD
 from lacewingcourse.relay.readiness import Readiness
+from lacewingcourse.relay.restart_estimate import RestartEstimator
 
 from .routes import route_of
 from .stream_play import CallerStub, Decisions
@@ -31,22 +31,22 @@
 #: Seconds in which an entry must have ended.
 GRACE = 8.0
 #: Seconds between the requests to end of two entries.
-APART = 0.38
+STAGGER = 0.38
 #: Tokens in one event of an answer, and seconds between two events.
 EVENT_TOKENS = 2
 INTERVAL = 0.028
 #: Events that callers allow.
 MAX_EVENTS = 173
 #: Seconds that a message between entries takes.
-TRIP = 0.005
+MESSAGE_DELAY = 0.005
 #: Seconds between two callers of an entry.
 CALL_PERIOD = 0.07
 #: Seconds between the end of an entry and its first connections, at the least.
-LEAST_BACK = 0.9
+MIN_RESTART_TIME = 0.9
 
 
 #: Draws how many events an answer has.
-Lengths = Callable[[Random], int]
+DrawEventCount = Callable[[Random], int]
 
 
 class Caller(CallerStub):
@@ -65,7 +65,7 @@
 
 
 @attrs.frozen
-class Refused:
+class RefusedCaller:
     """A caller that was refused while entries were ending.
 
     Attributes:
@@ -74,7 +74,7 @@
     """
 
     at: float
-    comes_at: float
+    returns_at: float
 
 
 @attrs.define
@@ -126,27 +126,31 @@
     )
 
 
-class Restarts:
+class RollingRestart:
     """A deployment whose entries are all restarted within some seconds.
 
     Attributes:
         processes: The processes that run, by name of the entry.
-        lengths: Draws how many events an answer has.
+        draw_event_count: Draws how many events an answer has.
         back: When each entry took connections again, by name.
         refused: Callers that were refused while no entry was back.
     """
 
     def __init__(
-        self, shape: EngineShape, count: int, seed: int, lengths: Lengths
+        self,
+        shape: EngineShape,
+        count: int,
+        seed: int,
+        draw_event_count: DrawEventCount,
     ) -> None:
-        self.lengths = lengths
+        self.draw_event_count = draw_event_count
         self.shape = attrs.evolve(shape, event_tokens=EVENT_TOKENS)
         self.clock = asyncio.get_running_loop().time
         self.rng = Random(seed)
         self.names = [f"entry-{number}" for number in range(count)]
         self.processes: dict[str, Process] = {}
-        self.back: dict[str, float] = {}
-        self.refused: list[Refused] = []
+        self.ready_at: dict[str, float] = {}
+        self.refused: list[RefusedCaller] = []
 
     def start(self, name: str) -> None:
         """Start a process of an entry, and let it speak."""
@@ -160,12 +164,12 @@
             keys=None,
         )
         for _ in range(64):
-            events = self.lengths(self.rng)
+            events = self.draw_event_count(self.rng)
             beliefs.durations.note("rooms", events * INTERVAL)
             beliefs.durations.note_stream("rooms", INTERVAL, INTERVAL)
         process = self._process(name, beliefs)
         self.processes[name] = process
-        asyncio.ensure_future(self._speak(name, process))
+        asyncio.ensure_future(self._run_gossip(name, process))
 
     def _process(self, name: str, beliefs: Beliefs) -> Process:
         readiness = Readiness(beliefs, GRACE, LAST_REQUESTS.get("redirected"))
@@ -188,11 +192,11 @@
             readiness,
             Decisions(),
             self.clock,
-            lambda: endings.ready_in(),
+            lambda: estimator.ready_in(),
             Random(self.rng.random()),
         )
         callers = SimpleNamespace(open=set())
-        endings = Endings(readiness, callers, gateway, book, self.clock)
+        estimator = RestartEstimator(readiness, callers, gateway, book, self.clock)
         follower = SimpleNamespace(
             freshness=Freshness(1.0, 0.1), position=None, reachable=True
         )
@@ -207,12 +211,12 @@
             readiness,
             Decisions(),
             self.clock,
-            endings.ends_in,
+            estimator.ends_in,
         )
         drainer = Drainer(readiness, callers, gateway, self.clock)
         return Process(gateway, drainer, gossip)
 
-    async def _speak(self, name: str, process: Process) -> None:
+    async def _run_gossip(self, name: str, process: Process) -> None:
         """Speak with the other entries as long as a process runs."""
         await asyncio.sleep(self.rng.uniform(0.0, PERIOD))
         while self.processes.get(name) is process:
@@ -223,45 +227,47 @@
     async def _exchange(self, process: Process, other_name: str) -> None:
         """Let a process speak to another one, and that one answer."""
         news = encode(process.gossip.news_for(other_name, ""))
-        await asyncio.sleep(TRIP)
+        await asyncio.sleep(MESSAGE_DELAY)
         other = self.processes.get(other_name)
         if other is None:
             return
         other.gossip.take(decode(news, PeerNews))
         answer = encode(other.gossip.news_for(process.gossip.name, ""))
-        await asyncio.sleep(TRIP)
+        await asyncio.sleep(MESSAGE_DELAY)
         process.gossip.take(decode(answer, PeerNews))
 
     async def restart(self, name: str) -> None:
         """Ask an entry to end, and start it again."""
         process = self.processes[name]
         process.gateway.readiness.start_drain(self.clock())
-        calls = asyncio.ensure_future(self._call(process))
+        calls = asyncio.ensure_future(self._send_callers(process))
         await process.drainer.run()
         calls.cancel()
         del self.processes[name]
-        await asyncio.sleep(self.rng.uniform(LEAST_BACK, RESTART_TIME + START_TIME))
+        await asyncio.sleep(
+            self.rng.uniform(MIN_RESTART_TIME, RESTART_TIME + START_TIME)
+        )
         self.start(name)
-        self.back[name] = self.clock()
+        self.ready_at[name] = self.clock()
 
-    async def _call(self, process: Process) -> None:
+    async def _send_callers(self, process: Process) -> None:
         """Send callers to a process, and keep those that it refuses."""
         while True:
             await asyncio.sleep(CALL_PERIOD)
-            caller = process.call(self.lengths(self.rng))
+            caller = process.call(self.draw_event_count(self.rng))
             await asyncio.sleep(0)
-            if caller.task.done() and not self.back:
+            if caller.task.done() and not self.ready_at:
                 wait = float(caller.headers["Retry-After"])
-                self.refused.append(Refused(self.clock(), self.clock() + wait))
+                self.refused.append(RefusedCaller(self.clock(), self.clock() + wait))
 
-    async def play(self) -> None:
+    async def restart_all(self) -> None:
         """Restart all entries, each with an open answer."""
         for name in self.names:
             self.start(name)
         await asyncio.sleep(5 * PERIOD)
         restarts = []
         for name in self.names:
-            self.processes[name].call(self.lengths(self.rng))
+            self.processes[name].call(self.draw_event_count(self.rng))
             restarts.append(asyncio.ensure_future(self.restart(name)))
-            await asyncio.sleep(APART)
+            await asyncio.sleep(STAGGER)
         await asyncio.gather(*restarts)
--- a/packages/relay/tests/relay/test_endings.py
+++ b/packages/relay/tests/relay/test_restart_estimate.py
@@ -15,19 +15,19 @@
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.decisions import DecisionLog
 from lacewingcourse.relay.drain import BALANCER_DELAY
-from lacewingcourse.relay.endings import Endings
 from lacewingcourse.relay.peer_messages import PeerNews, decode, encode
 from lacewingcourse.relay.readiness import SHUTDOWN_MARGIN, Readiness
+from lacewingcourse.relay.restart_estimate import RestartEstimator
 
 from .network import Network
-from .restarts import GRACE, INTERVAL, MAX_EVENTS, Restarts
+from .rolling_restart import GRACE, INTERVAL, MAX_EVENTS, RollingRestart
 from .routes import route_of
 from .virtual_time import play
 
 #: When the entry was asked to end, and the time of the tests.
-ASKED, NOW = 10.0, 12.0
+DRAIN_STARTED_AT, NOW = 10.0, 12.0
 #: When it must have ended.
-LAST = ASKED + GRACE - SHUTDOWN_MARGIN
+DRAIN_DEADLINE = DRAIN_STARTED_AT + GRACE - SHUTDOWN_MARGIN
 
 
 class Caller(SimpleNamespace):
@@ -37,12 +37,14 @@
 
 
 @pytest.fixture
-def open_for(shape):
+def make_estimator(shape):
     """Return a function that makes an entry with one open answer."""
 
-    def make(most_answer=0, events=0, received=NOW, until=500.0, routed=True, **told):
+    def make(
+        most_answer=0, events=0, received=NOW, until=500.0, routed=True, **attributes
+    ):
         caller = Caller(ended=False, gone=False)
-        vars(caller).update(told)
+        vars(caller).update(attributes)
         beliefs = Beliefs()
         beliefs.table = SimpleNamespace(
             services={"rooms": SimpleNamespace(shape=shape)}
@@ -58,37 +60,39 @@
             until=until,
         )
         readiness = Readiness(beliefs, GRACE)
-        readiness.start_drain(ASKED)
+        readiness.start_drain(DRAIN_STARTED_AT)
         gateway = SimpleNamespace(
             beliefs=beliefs, jobs={caller: job} if routed else {}, serving=set()
         )
         callers = SimpleNamespace(open={caller})
-        return Endings(readiness, callers, gateway, PeerBook("a"), lambda: NOW)
+        return RestartEstimator(readiness, callers, gateway, PeerBook("a"), lambda: NOW)
 
     return make
 
 
-def test_an_entry_that_is_not_ending_expects_no_end(open_for):
-    endings = open_for()
-    endings.readiness.drain_started_at = None
-    assert endings.ends_in() is None
+def test_entry_that_is_not_draining_has_no_expected_end(make_estimator):
+    estimator = make_estimator()
+    estimator.readiness.drain_started_at = None
+    assert estimator.ends_in() is None
 
 
 @pytest.mark.parametrize(
-    ("events", "rest"), [(0, 0.5 + 100 * INTERVAL), (40, 60 * INTERVAL)]
+    ("events", "remaining"), [(0, 0.5 + 100 * INTERVAL), (40, 60 * INTERVAL)]
 )
-def test_a_stream_lasts_as_long_as_its_events_may(open_for, events, rest):
-    endings = open_for(most_answer=100, events=events)
-    assert endings.ends_in() == pytest.approx(rest)
+def test_stream_lasts_as_long_as_its_remaining_events(
+    make_estimator, events, remaining
+):
+    estimator = make_estimator(most_answer=100, events=events)
+    assert estimator.ends_in() == pytest.approx(remaining)
 
 
-def test_an_entry_does_not_end_while_callers_are_sent_to_it(open_for):
-    endings = open_for(most_answer=100, events=99)
-    assert endings.ends_in() == pytest.approx(ASKED + BALANCER_DELAY - NOW)
+def test_entry_does_not_end_before_the_balancer_stops_sending_callers(make_estimator):
+    estimator = make_estimator(most_answer=100, events=99)
+    assert estimator.ends_in() == pytest.approx(DRAIN_STARTED_AT + BALANCER_DELAY - NOW)
 
 
-def test_an_answer_of_unknown_length_lasts_as_its_route_does(open_for):
-    assert open_for(received=NOW).ends_in() == pytest.approx(2.0)
+def test_answer_without_a_token_limit_lasts_as_usual_for_its_route(make_estimator):
+    assert make_estimator(received=NOW).ends_in() == pytest.approx(2.0)
 
 
 @pytest.mark.parametrize(
@@ -100,58 +104,64 @@
     ],
     ids=["beyond its route", "long", "not arrived"],
 )
-def test_an_entry_ends_in_its_grace_time(open_for, open_answer):
-    assert open_for(**open_answer).ends_in() == pytest.approx(LAST - NOW)
+def test_entry_ends_by_its_drain_deadline(make_estimator, open_answer):
+    assert make_estimator(**open_answer).ends_in() == pytest.approx(
+        DRAIN_DEADLINE - NOW
+    )
 
 
 @pytest.mark.parametrize(
     "open_answer", [{"until": NOW + 1.0}, {"ended": True}, {"gone": True}], ids=str
 )
-def test_an_answer_lasts_no_longer_than_its_caller_waits(open_for, open_answer):
-    endings = open_for(most_answer=1_000, **open_answer)
-    assert endings.ends_in() == pytest.approx(ASKED + BALANCER_DELAY - NOW)
+def test_answer_lasts_no_longer_than_its_caller_waits(make_estimator, open_answer):
+    estimator = make_estimator(most_answer=1_000, **open_answer)
+    assert estimator.ends_in() == pytest.approx(DRAIN_STARTED_AT + BALANCER_DELAY - NOW)
 
 
-def test_a_request_that_is_being_refused_delays_no_end(open_for):
-    endings = open_for(routed=False)
-    endings.gateway.serving.update(endings.callers.open)
-    assert endings.ends_in() == pytest.approx(ASKED + BALANCER_DELAY - NOW)
+def test_received_request_without_a_job_does_not_delay_the_end(make_estimator):
+    estimator = make_estimator(routed=False)
+    estimator.gateway.serving.update(estimator.callers.open)
+    assert estimator.ends_in() == pytest.approx(DRAIN_STARTED_AT + BALANCER_DELAY - NOW)
 
 
-def test_a_message_of_an_entry_that_does_not_tell_its_end_is_read():
+def test_message_without_ends_in_is_decoded():
     entry = Network({"a": 1}).entries["a-00"]
     document = orjson.loads(encode(entry.news_for("", "")))
     del document["ends_in"]
     assert decode(orjson.dumps(document), PeerNews).ends_in is None
 
 
-def heard_end(restarts: Restarts, name: str) -> list[float]:
+def expected_ends(rolling_restart: RollingRestart, name: str) -> list[float]:
     """Return when others expect an entry to end, the soonest and the latest."""
-    books = [each.gossip.book for each in restarts.processes.values()]
+    books = [each.gossip.book for each in rolling_restart.processes.values()]
     ends = [book.peers[name].ends_at for book in books if book.name != name]
     return [min(ends), max(ends)]
 
 
-def test_entries_hear_when_the_expected_end_of_another_one_changes(shape):
+def test_entries_receive_changes_of_the_expected_end_of_another_entry(shape):
     async def test():
-        restarts = Restarts(shape, 3, 1, lambda rng: MAX_EVENTS)
-        for name in restarts.names:
-            restarts.start(name)
+        rolling_restart = RollingRestart(shape, 3, 1, lambda rng: MAX_EVENTS)
+        for name in rolling_restart.names:
+            rolling_restart.start(name)
         await asyncio.sleep(1.0)
-        ending = restarts.processes["entry-1"]
-        ending.gateway.readiness.start_drain(restarts.clock())
+        ending = rolling_restart.processes["entry-1"]
+        ending.gateway.readiness.start_drain(rolling_restart.clock())
         await asyncio.sleep(0.5)
         end = 1.0 + BALANCER_DELAY
-        assert heard_end(restarts, "entry-1") == pytest.approx([end, end], abs=0.02)
-        end = restarts.clock() + INTERVAL + MAX_EVENTS * INTERVAL
+        assert expected_ends(rolling_restart, "entry-1") == pytest.approx(
+            [end, end], abs=0.02
+        )
+        end = rolling_restart.clock() + INTERVAL + MAX_EVENTS * INTERVAL
         ending.call(MAX_EVENTS)
         await asyncio.sleep(0.5)
-        assert heard_end(restarts, "entry-1") == pytest.approx([end, end], abs=0.1)
+        assert expected_ends(rolling_restart, "entry-1") == pytest.approx(
+            [end, end], abs=0.1
+        )
 
     play(test())
 
 
-def test_the_line_of_a_refusal_tells_what_its_caller_waits_for(monkeypatch):
+def test_refusal_log_line_has_waits_for(monkeypatch):
     lines = []
     bind = SimpleNamespace(info=lambda event: None)
     monkeypatch.setattr(
