--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -291,9 +291,9 @@
     async def run(self) -> None:
         """Serve until the request to end has been carried out."""
         if self._front is None:
-            self._listen(self.ingress.front, self.settings.front)
+            self._listen(self.ingress.server, self.settings.front)
         else:
-            self.ingress.front.add_socket(self._front)
+            self.ingress.server.add_socket(self._front)
         self._listen(self.ready, self.settings.ready)
         if self.settings.peers:
             self._listen(self.peer_server, self.settings.peers)
--- a/packages/relay/src/lacewingcourse/relay/front.py
+++ b/packages/relay/src/lacewingcourse/relay/caller_server.py
@@ -16,7 +16,7 @@
     from lacewingcourse.relay.caller import CallerExchange
 
 
-class Front(HTTPServer):
+class CallerServer(HTTPServer):
     """The server that callers connect to.
 
     Attributes:
@@ -27,23 +27,23 @@
     def initialize(self, *args, **parameters) -> None:
         """Make the server; the library calls this in place of `__init__`."""
         super().initialize(*args, **parameters)
-        self.listening: list[socket.socket] = []
-        self.streams: set[IOStream] = set()
+        self.listen_sockets: list[socket.socket] = []
+        self.connections: set[IOStream] = set()
 
     def add_sockets(self, sockets: Iterable[socket.socket]) -> None:
         """Accept connections on sockets that listen."""
-        added = list(sockets)
-        self.listening += added
-        super().add_sockets(added)
+        listening = list(sockets)
+        self.listen_sockets += listening
+        super().add_sockets(listening)
 
     def handle_stream(self, stream: IOStream, address: tuple) -> None:
         """Read requests from a new connection."""
-        self.streams.add(stream)
+        self.connections.add(stream)
         super().handle_stream(stream, address)
 
     def on_close(self, server_conn: HTTP1ServerConnection) -> None:
         """Forget a connection that has been closed."""
-        self.streams.discard(server_conn.stream)
+        self.connections.discard(server_conn.stream)
         super().on_close(server_conn)
 
     def stop_listening(self) -> None:
@@ -51,14 +51,14 @@
 
         The kernel resets connections that wait behind a socket which is closed.
         """
-        for listening in self.listening:
-            self._accept_waiting(listening)
+        for listen_socket in self.listen_sockets:
+            self._accept_pending(listen_socket)
         self.stop()
 
-    def _accept_waiting(self, listening: socket.socket) -> None:
+    def _accept_pending(self, listen_socket: socket.socket) -> None:
         while True:
             try:
-                connection, address = listening.accept()
+                connection, address = listen_socket.accept()
             except ConnectionAbortedError:
                 continue
             except OSError:
@@ -73,5 +73,5 @@
             unended: Requests whose answers have not left this process.
         """
         busy = {caller.connection.stream for caller in open_requests}
-        for stream in self.streams.difference(busy):
+        for stream in self.connections.difference(busy):
             stream.close()
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from lacewingcourse.relay.caller import MOST_HEAD, CallerConnections
+from lacewingcourse.relay.caller_server import CallerServer
 from lacewingcourse.relay.drain import Drainer
-from lacewingcourse.relay.front import Front
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.restart_estimate import RestartEstimator
 
@@ -85,16 +85,16 @@
         self.restart_estimator = RestartEstimator(
             readiness, self.callers, self.gateway, book, clock
         )
-        self.front = Front(self.callers, max_header_size=MOST_HEAD)
+        self.server = CallerServer(self.callers, max_header_size=MOST_HEAD)
         # Idle connections are closed by `IdleWatch`.
-        self.front.conn_params.header_timeout = None
+        self.server.conn_params.header_timeout = None
         self.drainer = Drainer(
             readiness,
             self.callers,
             self.gateway,
             clock,
-            self.front.stop_listening,
-            self.front.close_idle,
+            self.server.stop_listening,
+            self.server.close_idle,
         )
 
     def put_in_force(self, limits: Limits) -> None:
@@ -102,7 +102,7 @@
         # A head may begin when the connection's time to stay idle is nearly over.
         seconds = limits.idle_timeout + limits.header_timeout
         self.callers.idle.put_in_force(seconds, self.clock())
-        params = self.front.conn_params
+        params = self.server.conn_params
         # A connection takes this when it begins to wait, so it leaves room for a later
         # version; the limit in force is looked at once a head has come.
         params.max_header_size = max(MOST_HEAD, limits.header_bytes)
@@ -116,7 +116,7 @@
             since: When the grace time began at the latest, seconds.
         """
         self.readiness.start_drain(since)
-        self.front.conn_params.no_keep_alive = True
+        self.server.conn_params.no_keep_alive = True
 
     def tell_leaving(self) -> None:
         """Tell what is open and when this entry expects to have ended."""
--- a/packages/relay/tests/relay/test_drain_races.py
+++ b/packages/relay/tests/relay/test_drain_races.py
@@ -13,8 +13,8 @@
 from lacewingcourse.relay import drain
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.caller import CallerConnections
+from lacewingcourse.relay.caller_server import CallerServer
 from lacewingcourse.relay.drain import Drainer
-from lacewingcourse.relay.front import Front
 from lacewingcourse.relay.readiness import Readiness
 
 from .test_caller import REQUEST, run
@@ -58,10 +58,10 @@
         self.callers = CallerConnections(
             self.gateway.serve, self.clock, lambda: readiness.draining
         )
-        self.front = Front(self.callers)
-        self.front.conn_params.header_timeout = None
-        self.front.listen(0, "127.0.0.1")
-        (listening,) = self.front.listening
+        self.server = CallerServer(self.callers)
+        self.server.conn_params.header_timeout = None
+        self.server.listen(0, "127.0.0.1")
+        (listening,) = self.server.listen_sockets
         self.address = listening.getsockname()
 
     async def _forward(self, job, shape) -> None:
@@ -75,7 +75,7 @@
     async def connect_idle(self) -> socket.socket:
         """Return a connection of a caller that the entry waits on."""
         made = self.connect()
-        while not self.front.streams:
+        while not self.server.connections:
             await asyncio.sleep(0)
         await asyncio.sleep(0.01)
         return made
@@ -88,8 +88,8 @@
             self.callers,
             self.gateway,
             self.clock,
-            self.front.stop_listening,
-            self.front.close_idle,
+            self.server.stop_listening,
+            self.server.close_idle,
         )
         drainer.hook = hook
         await drainer.run()
@@ -169,7 +169,7 @@
         caller = await entry.connect_idle()
         caller.sendall(begun)
         await entry.end(lambda: None)
-        assert entry.front.streams == set()
+        assert entry.server.connections == set()
         assert read_all(caller) == b""
 
     run(test)
