--- a/packages/relay/src/lacewingcourse/relay/caller.py
+++ b/packages/relay/src/lacewingcourse/relay/caller.py
@@ -14,7 +14,7 @@
 )
 from tornado.iostream import StreamClosedError
 
-from lacewingcourse.relay.idle import IdleTime, IdleWatch
+from lacewingcourse.relay.idle import IdleTimeout, IdleTimer
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -59,7 +59,7 @@
         clock: Callable[[], float],
         last: Callable[[], bool],
         unended: set[CallerExchange],
-        watch: IdleWatch,
+        watch: IdleTimer,
         longest_head: Callable[[], int],
     ) -> None:
         self.connection = connection
@@ -268,7 +268,7 @@
         last: Callable[[], bool],
     ) -> None:
         self.open: set[CallerExchange] = set()
-        self.idle = IdleTime()
+        self.idle = IdleTimeout()
         self.longest_head = MOST_HEAD
         self._serve = serve
         self._clock = clock
@@ -278,7 +278,7 @@
         self, server_conn: object, request_conn: HTTP1Connection
     ) -> HTTPMessageDelegate:
         """Return what takes the next request of a connection."""
-        watch = IdleWatch(request_conn, self.idle, self._clock)
+        watch = IdleTimer(request_conn, self.idle, self._clock)
         return CallerExchange(
             request_conn,
             self._serve,
--- a/packages/relay/src/lacewingcourse/relay/idle.py
+++ b/packages/relay/src/lacewingcourse/relay/idle.py
@@ -15,14 +15,14 @@
 #: Seconds beyond the callers' idle time for which their connections are kept.
 IDLE_MARGIN = 2.0
 #: Seconds for which connections of callers may stay idle before it is configured.
-FIRST_IDLE_TIME = 60.0
+DEFAULT_IDLE_TIMEOUT = 60.0
 #: Seconds for which callers may go on by a version that was replaced. Nothing tells
 #: which version one goes by.
-VERSION_LAG = 60.0
+MAX_VERSION_LAG = 60.0
 
 
 @attrs.frozen
-class ReplacedTime:
+class ReplacedTimeout:
     """The idle time of a version that was replaced.
 
     Attributes:
@@ -31,11 +31,11 @@
     """
 
     seconds: float
-    counts_until: float
+    valid_until: float
 
 
 @attrs.define
-class IdleTime:
+class IdleTimeout:
     """How long connections of callers may stay idle.
 
     Callers reuse a connection as long as the version that they know allows, so a
@@ -46,32 +46,32 @@
         replaced: Longer times of versions that some callers may still go by.
     """
 
-    told: float | None = None
-    replaced: list[ReplacedTime] = attrs.field(factory=list)
+    current: float | None = None
+    replaced: list[ReplacedTimeout] = attrs.field(factory=list)
 
-    def put_in_force(self, seconds: float, now: float) -> None:
+    def update(self, seconds: float, now: float) -> None:
         """Take the time that a new version allows.
 
         Args:
             seconds: That time.
             now: Present time in seconds.
         """
-        kept = [each for each in self.replaced if now < each.counts_until]
-        if self.told is not None:
-            until = now + VERSION_LAG + self.told + IDLE_MARGIN
-            kept.append(ReplacedTime(self.told, until))
+        kept = [each for each in self.replaced if now < each.valid_until]
+        if self.current is not None:
+            until = now + MAX_VERSION_LAG + self.current + IDLE_MARGIN
+            kept.append(ReplacedTimeout(self.current, until))
         self.replaced = [each for each in kept if each.seconds > seconds]
-        self.told = seconds
+        self.current = seconds
 
-    def longest(self, now: float) -> float:
+    def effective(self, now: float) -> float:
         """Return the seconds after which an idle connection is closed."""
-        if self.told is None:
-            return FIRST_IDLE_TIME
-        counted = [e.seconds for e in self.replaced if now < e.counts_until]
-        return max([self.told, *counted]) + IDLE_MARGIN
+        if self.current is None:
+            return DEFAULT_IDLE_TIMEOUT
+        valid = [e.seconds for e in self.replaced if now < e.valid_until]
+        return max([self.current, *valid]) + IDLE_MARGIN
 
 
-class IdleWatch:
+class IdleTimer:
     """Closes a connection on which the head of a request does not come in time.
 
     The server of the library takes the time when a connection begins to wait and keeps
@@ -80,26 +80,26 @@
     """
 
     def __init__(
-        self, connection: HTTP1Connection, idle: IdleTime, clock: Callable[[], float]
+        self, connection: HTTP1Connection, idle: IdleTimeout, clock: Callable[[], float]
     ) -> None:
         self._connection = connection
         self._idle = idle
         self._clock = clock
         self._since = clock()
         self._timer: asyncio.Handle | None = None
-        self._look()
+        self._check()
 
     def stop(self) -> None:
         """Keep the connection, since a head has come."""
         self._timer.cancel()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         """Close the connection if its time is over, else look again when it will be."""
         now = self._clock()
-        left = self._since + self._idle.longest(now) - now
+        left = self._since + self._idle.effective(now) - now
         loop = asyncio.get_running_loop()
         if left > 0:
-            self._timer = loop.call_later(left, self._look)
+            self._timer = loop.call_later(left, self._check)
             return
         # A head that was read in this turn of the loop is told of in the next one.
         self._timer = loop.call_soon(self._connection.close)
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -101,7 +101,7 @@
         """Apply the limits of a version that has come into force."""
         # A head may begin when the connection's time to stay idle is nearly over.
         seconds = limits.idle_timeout + limits.header_timeout
-        self.callers.idle.put_in_force(seconds, self.clock())
+        self.callers.idle.update(seconds, self.clock())
         params = self.server.conn_params
         # A connection takes this when it begins to wait, so it leaves room for a later
         # version; the limit in force is looked at once a head has come.
