--- a/packages/relay/src/lacewingcourse/relay/admission.py
+++ b/packages/relay/src/lacewingcourse/relay/admission.py
@@ -75,10 +75,10 @@
         """Return how long a request waits."""
         if job.caller.response_started:
             patience = continued_wait(job.route.objective, job.route.gap)
-            until = job.progressed_at + patience
+            until = job.last_event_at + patience
         else:
             until = self.wait(job.request.received_at, job.route.objective)
-        return QueuedRequest(job.urgency, demand.tokens, now, min(until, job.until))
+        return QueuedRequest(job.urgency, demand.tokens, now, min(until, job.deadline))
 
     def _now(
         self, job: Job, choose: Callable[[], Path | Refusal], now: float
@@ -109,5 +109,5 @@
     if found.retry_after is not None and found.retry_after >= left:
         return False
     if found.kind is ErrorKind.RETRIES_EXHAUSTED:
-        return not job.may_come_back
+        return not job.caller_may_retry
     return found.kind in MOMENTARY
--- a/packages/relay/src/lacewingcourse/relay/calls.py
+++ b/packages/relay/src/lacewingcourse/relay/calls.py
@@ -87,7 +87,7 @@
         last: WholeAnswer | None = None
         while True:
             now = self.sender.clock()
-            if now >= job.until:
+            if now >= job.deadline:
                 return last or job.failure(ErrorKind.DEADLINE_EXCEEDED, None)
             endpoint = self._choose(job, now)
             if isinstance(endpoint, Refusal) and self._waits(job, endpoint, now):
@@ -114,10 +114,10 @@
             if isinstance(result, WholeAnswer):
                 if result.head.status < SERVER_ERROR or not job.may_try_another:
                     return result
-                job.note(SendOutcome.ANSWERED, f"status {result.head.status}")
+                job.record_outcome(SendOutcome.ANSWERED, f"status {result.head.status}")
                 last = result
                 continue
-            job.note(result.outcome, result.reason)
+            job.record_outcome(result.outcome, result.reason)
             self.log.lost(job, endpoint.id, result.reason)
             if result.connection_lost:
                 now = self.sender.clock()
@@ -146,7 +146,7 @@
             now: Present time in seconds.
             besides: Endpoints to avoid besides those that it avoids anyway.
         """
-        refusal = job.refused_at(now)
+        refusal = job.drain_refusal(now)
         if refusal is not None:
             return refusal
         if job.sends and not self.budget.hold(job.service, job, now, reserved=False):
@@ -200,7 +200,7 @@
             # Endpoints drop kept connections without notice; it is no lost run.
             self.sender.pool.drop(endpoint.address)
             job.sends -= 1
-            job.note(result.outcome, result.reason)
+            job.record_outcome(result.outcome, result.reason)
             again = await self._ask(job, endpoint, fresh=True)
             if isinstance(again, NotSent) and again.cause is Unsent.UNREACHABLE:
                 # It is gone, perhaps under this call.
@@ -228,13 +228,13 @@
         if isinstance(sent, NotSent):
             return sent
         job.sends += 1
-        job.firsts.add(endpoint.id)
-        job.current = sent
+        job.sent_to.add(endpoint.id)
+        job.current_exchange = sent
         age = now - self.beliefs.fleet.known_at
         limit = self.beliefs.limits.named(endpoint.id)
         self.log.sent(job, endpoint.id, age, 0.0, limit)
         if job.caller.disconnected:
-            job.caller_gone()
+            job.on_caller_disconnect()
         try:
             return await self._read(job, endpoint, sent, now)
         except BaseException:
@@ -242,7 +242,7 @@
             sent.abandon()
             raise
         finally:
-            job.current = None
+            job.current_exchange = None
 
     async def _read(
         self, job: Job, endpoint: Endpoint, exchange: Exchange, sent_at: float
@@ -256,11 +256,11 @@
         answer = await reader.read(self._patience(job, sent_at))
         while answer is None:
             now = self.sender.clock()
-            if now >= job.until:
+            if now >= job.deadline:
                 return reader.give_up("no answer in time", timed_out=True)
             if self._may_leave(job, endpoint, now):
                 return reader.give_up("no answer yet, and another one may give it")
-            answer = await reader.read(min(job.until, now + RETRY_PERIOD))
+            answer = await reader.read(min(job.deadline, now + RETRY_PERIOD))
         return answer
 
     def _may_leave(self, job: Job, endpoint: Endpoint, now: float) -> bool:
@@ -273,9 +273,9 @@
     def _patience(self, job: Job, now: float) -> float:
         """Return until when an endpoint is waited for before another one is tried."""
         if not job.route.retry_safety.may_retry or not job.may_try_another:
-            return job.until
+            return job.deadline
         patience = max(0.1, PATIENCE_OBJECTIVES * job.route.objective)
-        return min(job.until, now + patience)
+        return min(job.deadline, now + patience)
 
     def _failed(self, job: Job, result: NoAnswer) -> Refusal:
         if result.timed_out:
--- a/packages/relay/src/lacewingcourse/relay/decisions.py
+++ b/packages/relay/src/lacewingcourse/relay/decisions.py
@@ -121,7 +121,7 @@
     def served(self, job: Job, now: float) -> None:
         """Tell of the end of a request that was answered by an endpoint."""
         self.metrics.served(job, now)
-        first = job.first_at
+        first = job.first_event_at
         self._line(
             "served",
             request=job.request.id,
@@ -158,8 +158,8 @@
             sends=job.sends,
             rejections=job.rejections,
             events=job.events,
-            quiet_ms=_ms(now - job.progressed_at),
-            left_ms=_ms(job.until - now),
+            quiet_ms=_ms(now - job.last_event_at),
+            left_ms=_ms(job.deadline - now),
             path=_path(job),
             version=self.version(),
         )
@@ -300,8 +300,8 @@
             sends=job.sends,
             events=job.events,
             avoided=sorted(job.avoid),
-            quiet_ms=_ms(now - job.progressed_at) if job.events else None,
-            left_ms=_ms(job.until - now),
+            quiet_ms=_ms(now - job.last_event_at) if job.events else None,
+            left_ms=_ms(job.deadline - now),
             path=_path(job),
         )
 
@@ -343,7 +343,7 @@
             request=job.request.id,
             endpoint=endpoint,
             attempt=job.sends,
-            outcome=job.worst.value,
+            outcome=job.worst_outcome.value,
             events=job.events,
             reason=reason,
             fault=fault,
--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -133,11 +133,11 @@
 
     def _stop(self, job: Job) -> None:
         """Stop what an endpoint does for a request that is cut short."""
-        if job.current is None:
+        if job.current_exchange is None:
             job.reason = LEAVING
             return
-        job.note(SendOutcome.MAY_HAVE_RUN, LEAVING)
-        job.current.abandon()
+        job.record_outcome(SendOutcome.MAY_HAVE_RUN, LEAVING)
+        job.current_exchange.abandon()
 
     async def _serve(self, caller: CallerExchange) -> None:
         request = self.codec.decode(
@@ -161,7 +161,7 @@
             self.log.refused(request, refusal, job)
             self._refuse(caller, request, refusal)
             return
-        caller.on_disconnect = job.caller_gone
+        caller.on_disconnect = job.on_caller_disconnect
         self.jobs[caller] = job
         self.calls.budget.on_request(job.service, self.clock())
         refusal = await self._forward(job)
@@ -187,8 +187,8 @@
         durations, received = self.beliefs.durations, job.request.received_at
         durations.note(job.route.name, now - received)
         if job.events > 1:
-            interval = (job.progressed_at - job.first_at) / (job.events - 1)
-            durations.note_stream(job.service, job.first_at - received, interval)
+            interval = (job.last_event_at - job.first_event_at) / (job.events - 1)
+            durations.note_stream(job.service, job.first_event_at - received, interval)
 
     async def _wait_for_configuration(self, request: CallerRequest) -> None:
         """Hold a request that came before the first configuration did.
@@ -235,11 +235,11 @@
         patience = route.timeout
         if request.patience is not None:
             patience = min(patience, request.patience)
-        until = request.received_at + patience
+        deadline = request.received_at + patience
         service = route.service_for(request.id)
 
-        def takes(now: float) -> bool:
-            return self.readiness.accepts(route.name, now, until)
+        def accepts(now: float) -> bool:
+            return self.readiness.accepts(route.name, now, deadline)
 
         job = Job(
             request=request,
@@ -248,11 +248,11 @@
             organisation=organisation,
             caller=caller,
             strip_key=table.keys is not None,
-            until=until,
-            takes=takes,
+            deadline=deadline,
+            accepts=accepts,
         )
         now = self.clock()
-        refusal = job.refused_at(now)
+        refusal = job.drain_refusal(now)
         if self.readiness.draining:
             self._log_last_request(job, refusal is None, now)
         return refusal or job
@@ -268,7 +268,7 @@
 
     def _log_last_request(self, job: Job, taken: bool, now: float) -> None:
         """Tell whether a request was taken that came while this entry ends."""
-        time = self.readiness.answer_time(job.route.name, now, job.until)
+        time = self.readiness.answer_time(job.route.name, now, job.deadline)
         self.log.last_request(
             job.request, taken, time, self.readiness.drain_deadline - now
         )
--- a/packages/relay/src/lacewingcourse/relay/job.py
+++ b/packages/relay/src/lacewingcourse/relay/job.py
@@ -26,10 +26,10 @@
     from lacewingcourse.relay.ports import CallerRequest
 
 #: Least urgent rank that engines know, of ten.
-MOST_URGENCY = 9
+LEAST_URGENT_RANK = 9
 #: Rejections after which a request is given up; each takes a round trip and counts as a
 #: retry.
-MOST_REJECTIONS = 4
+MAX_REJECTIONS = 4
 
 
 @attrs.define(eq=False)
@@ -68,23 +68,23 @@
     organisation: Organisation
     caller: CallerExchange
     strip_key: bool
-    until: float
+    deadline: float
     sends: int = 0
     rejections: int = 0
-    firsts: set[str] = attrs.field(factory=set)
-    worst: SendOutcome = SendOutcome.NEVER_LEFT
+    sent_to: set[str] = attrs.field(factory=set)
+    worst_outcome: SendOutcome = SendOutcome.NEVER_LEFT
     avoid: set[str] = attrs.field(factory=set)
     limited: set[str] = attrs.field(factory=set)
-    current: Exchange | None = None
+    current_exchange: Exchange | None = None
     reason: str = ""
     path: Path | None = None
-    first_at: float | None = None
+    first_event_at: float | None = None
     longest_gap: float = 0.0
-    progressed_at: float = 0.0
+    last_event_at: float = 0.0
     waited: float = 0.0
     events: int = 0
     watched: Watched | None = None
-    takes: Callable[[float], bool] = lambda now: True
+    accepts: Callable[[float], bool] = lambda now: True
 
     @property
     def fingerprint(self) -> str:
@@ -102,30 +102,30 @@
         endpoints that the request was sent to already once these are as many as the
         route allows.
         """
-        runs = self.sends - self.rejections
-        if runs >= self.route.most_attempts or self.caller.disconnected:
+        attempts = self.sends - self.rejections
+        if attempts >= self.route.most_attempts or self.caller.disconnected:
             return False
-        if self.rejections > MOST_REJECTIONS:
+        if self.rejections > MAX_REJECTIONS:
             return False
         repeatable = self.route.retry_safety.may_retry
-        return repeatable or self.worst is not SendOutcome.MAY_HAVE_RUN
+        return repeatable or self.worst_outcome is not SendOutcome.MAY_HAVE_RUN
 
     @property
-    def only_firsts(self) -> set[str] | None:
+    def allowed_endpoints(self) -> set[str] | None:
         """Endpoints that it may be sent to, None for any."""
-        return self.firsts if len(self.firsts) >= self.route.most_attempts else None
+        return self.sent_to if len(self.sent_to) >= self.route.most_attempts else None
 
     @property
     def may_try_another(self) -> bool:
         """Whether it may be sent to an endpoint that it was not sent to before."""
-        return self.may_send_again and self.only_firsts is None
+        return self.may_send_again and self.allowed_endpoints is None
 
     @property
     def may_move(self) -> bool:
         """Whether its stream may go on on another path while a run is under way."""
         return self.may_send_again and self.route.retry_safety.may_retry
 
-    def refused_at(self, now: float) -> Refusal | None:
+    def drain_refusal(self, now: float) -> Refusal | None:
         """Return why it may not be sent by an entry that is ending, None if it may.
 
         An answer that its caller reads already goes on.
@@ -133,26 +133,26 @@
         Args:
             now: Present time in seconds.
         """
-        if self.caller.response_started or self.takes(now):
+        if self.caller.response_started or self.accepts(now):
             return None
         return Refusal(ErrorKind.DRAINING, Unsent.LEAVING.value)
 
     @property
-    def may_come_back(self) -> bool:
+    def caller_may_retry(self) -> bool:
         """Whether its caller may be told truly that it has not run, and ask again."""
         return (
             not self.caller.response_started
-            and self.worst is not SendOutcome.MAY_HAVE_RUN
+            and self.worst_outcome is not SendOutcome.MAY_HAVE_RUN
         )
 
-    def progress(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note events that were passed on."""
         self.events += 1
-        if self.first_at is None:
-            self.first_at = now
+        if self.first_event_at is None:
+            self.first_event_at = now
         else:
-            self.longest_gap = max(self.longest_gap, now - self.progressed_at)
-        self.progressed_at = now
+            self.longest_gap = max(self.longest_gap, now - self.last_event_at)
+        self.last_event_at = now
 
     @property
     def urgency(self) -> int:
@@ -160,7 +160,7 @@
         priority = self.organisation.priority
         if priority is None:
             priority = self.route.priority
-        return max(0, min(MOST_URGENCY, priority))
+        return max(0, min(LEAST_URGENT_RANK, priority))
 
     def sending(
         self,
@@ -168,7 +168,7 @@
         address: str,
         path: Path | None,
         now: float,
-        after: str,
+        resume_after: str,
         incarnation: str = "",
     ) -> Sending:
         """Return what to send to an endpoint.
@@ -186,37 +186,37 @@
             endpoint=endpoint,
             address=address,
             path=path,
-            time_left=self.until - now,
+            time_left=self.deadline - now,
             organisation=self.organisation.name,
             strip_key=self.strip_key,
-            resume_after=after,
+            resume_after=resume_after,
             urgency=self.urgency,
             incarnation=incarnation or endpoint,
         )
 
-    def note(self, outcome: SendOutcome, reason: str) -> None:
+    def record_outcome(self, outcome: SendOutcome, reason: str) -> None:
         """Note what became of a send."""
         self.reason = reason
         if outcome is SendOutcome.REJECTED:
             self.rejections += 1
         if outcome in (SendOutcome.MAY_HAVE_RUN, SendOutcome.ANSWERED):
-            self.worst = SendOutcome.MAY_HAVE_RUN
-        elif self.worst is SendOutcome.NEVER_LEFT:
-            self.worst = outcome
+            self.worst_outcome = SendOutcome.MAY_HAVE_RUN
+        elif self.worst_outcome is SendOutcome.NEVER_LEFT:
+            self.worst_outcome = outcome
 
-    def caller_gone(self) -> None:
+    def on_caller_disconnect(self) -> None:
         """Stop the endpoint's work, since the caller has left."""
-        if self.current is not None:
-            self.current.arrivals.put_nowait(Abandoned("the caller left"))
-            self.current.abandon()
+        if self.current_exchange is not None:
+            self.current_exchange.arrivals.put_nowait(Abandoned("the caller left"))
+            self.current_exchange.abandon()
 
     def failure(self, kind: ErrorKind, retry_after: float | None) -> Refusal:
         """Return how the request ends without an answer of an endpoint.
 
         What may have run is never told as not run.
         """
-        if self.worst is not SendOutcome.MAY_HAVE_RUN:
+        if self.worst_outcome is not SendOutcome.MAY_HAVE_RUN:
             return Refusal(kind, self.reason, Outcome.NOT_RUN, retry_after)
         timed_out = kind is ErrorKind.DEADLINE_EXCEEDED
-        told = kind if timed_out else ErrorKind.ENDPOINT_FAILED
-        return Refusal(told, self.reason, Outcome.UNKNOWN)
+        reported_kind = kind if timed_out else ErrorKind.ENDPOINT_FAILED
+        return Refusal(reported_kind, self.reason, Outcome.UNKNOWN)
--- a/packages/relay/src/lacewingcourse/relay/metrics.py
+++ b/packages/relay/src/lacewingcourse/relay/metrics.py
@@ -173,8 +173,8 @@
         self.requests.labels("served").inc()
         self._count_sends(job)
         self.whole.observe(now - received)
-        if job.first_at is not None:
-            self.first_event.observe(job.first_at - received)
+        if job.first_event_at is not None:
+            self.first_event.observe(job.first_event_at - received)
             self.pause.observe(job.longest_gap)
             self.waited.observe(job.waited)
 
--- a/packages/relay/src/lacewingcourse/relay/path_finder.py
+++ b/packages/relay/src/lacewingcourse/relay/path_finder.py
@@ -105,9 +105,9 @@
         now = self.clock()
         paths = self.beliefs.paths(job.service, shape, now)
         chooser = self.beliefs.chooser(shape)
-        firsts = job.only_firsts
-        if firsts is not None:
-            paths = [path for path in paths if path.first.endpoint in firsts]
+        allowed = job.allowed_endpoints
+        if allowed is not None:
+            paths = [path for path in paths if path.first.endpoint in allowed]
         connected = self.pool.idle if self.pool is not None else ()
 
         def choose(among: list[Path]) -> Path | Refusal:
--- a/packages/relay/src/lacewingcourse/relay/restart_estimate.py
+++ b/packages/relay/src/lacewingcourse/relay/restart_estimate.py
@@ -83,7 +83,7 @@
             # A request that is whole but not routed is being decided on.
             is_received = caller in self.gateway.serving
             return 0.0 if is_received else UNKNOWN_REMAINING
-        return min(self._expected_remaining(job, now), job.until - now)
+        return min(self._expected_remaining(job, now), job.deadline - now)
 
     def _expected_remaining(self, job: Job, now: float) -> float:
         """Return the seconds that what is done for a request takes yet."""
--- a/packages/relay/src/lacewingcourse/relay/sending.py
+++ b/packages/relay/src/lacewingcourse/relay/sending.py
@@ -139,7 +139,7 @@
 
     def _cause_unsent(self, job: Job, sending: Sending, now: float) -> Unsent | None:
         """Take what a send needs; return why it may not be sent, if so."""
-        if job.refused_at(now) is not None:
+        if job.drain_refusal(now) is not None:
             return Unsent.LEAVING
         if sending.time_left <= 0:
             return Unsent.OVERDUE
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -310,9 +310,9 @@
     def _move(self, watched: Watched, endpoints: set[str]) -> None:
         """Send a stream on elsewhere, if it may go on at all."""
         job = self.jobs[watched]
-        if job.may_move and job.current is not None:
+        if job.may_move and job.current_exchange is not None:
             job.avoid.update(endpoints)
-            job.current.arrivals.put_nowait(Stalled(known=True))
+            job.current_exchange.arrivals.put_nowait(Stalled(known=True))
             self.end(job)
 
 
--- a/packages/relay/src/lacewingcourse/relay/stream_run.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_run.py
@@ -141,12 +141,12 @@
     def _look_at(self, now: float) -> float:
         """Return when to look again if nothing arrives, seconds."""
         if self.standby is not None:
-            return min(self.job.until, self.standby.began_at + SILENCE_PATIENCE)
+            return min(self.job.deadline, self.standby.began_at + SILENCE_PATIENCE)
         if self.moving_since is not None:
-            return min(self.job.until, now + MOVE_PERIOD)
+            return min(self.job.deadline, now + MOVE_PERIOD)
         if self.job.may_move:
-            return min(self.job.until, self.state.quiet_since + SILENCE_PATIENCE)
-        return self.job.until
+            return min(self.job.deadline, self.state.quiet_since + SILENCE_PATIENCE)
+        return self.job.deadline
 
     async def _take_head(self, arrival: Head) -> RunResult | None:
         """Take the head of an answer; return the end of a run that is no stream."""
@@ -165,7 +165,7 @@
             return
         now = self.sender.clock()
         self.state.quiet_since = now
-        self.job.progress(now)
+        self.job.record_event(now)
         self.stalls.progress(self.job, now)
         if self.job.caller.response_started:
             self.job.caller.write(events)
@@ -175,7 +175,7 @@
     async def _stand_still(self, arrival: Stalled) -> RunResult | None:
         """Return the end of a run that stands still, None if it is kept open."""
         now = self.sender.clock()
-        if now >= self.job.until:
+        if now >= self.job.deadline:
             self._give_up("the time of the route is over")
             return RunResult(StreamEnd.OVERDUE, self.job.reason)
         if self.standby is not None:
@@ -211,7 +211,7 @@
     async def _listen(self, standby: Standby) -> None:
         """Wait for the answer to a standby, and tell this run of it."""
         now = self.sender.clock()
-        arrival = await next_arrival(standby.exchange, self.job.until, now)
+        arrival = await next_arrival(standby.exchange, self.job.deadline, now)
         if isinstance(arrival, Head):
             head = self.sender.codec.head(
                 arrival.status, arrival.headers, self.job.request
@@ -268,7 +268,7 @@
     def _give_up(self, reason: str) -> None:
         """Close a run that is still open."""
         self.exchange.abandon()
-        self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
+        self.job.record_outcome(SendOutcome.MAY_HAVE_RUN, reason)
 
     def _ended(self, arrival: End | Abandoned) -> RunResult | None:
         """Return what the end of a run amounts to, None while another is heard of."""
@@ -294,7 +294,7 @@
         """Return what the early end of a run amounts to."""
         reason = getattr(arrival, "reason", "") or CUT_EVENT
         exchange.abandon()
-        self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
+        self.job.record_outcome(SendOutcome.MAY_HAVE_RUN, reason)
         now = self.sender.clock()
         if exchange.was_dropped and now < began_at + DROP_NOTICED:
             return RunResult(StreamEnd.DROPPED, reason)
@@ -316,7 +316,7 @@
         """Read the body of an answer that is no stream, and keep a failure."""
         job = self.job
         body = bytearray()
-        until = min(job.until, self.sender.clock() + BODY_PATIENCE)
+        until = min(job.deadline, self.sender.clock() + BODY_PATIENCE)
         while True:
             now = self.sender.clock()
             arrival = await next_arrival(exchange, until, now)
@@ -330,11 +330,13 @@
             return RunResult(StreamEnd.ABANDONED, arrival.reason)
         if head.standing is Standing.REJECTED:
             reason = f"rejected with {head.status}"
-            job.note(SendOutcome.REJECTED, reason)
+            job.record_outcome(SendOutcome.REJECTED, reason)
             return RunResult(
                 StreamEnd.REJECTED, reason, head.fault_address, head.misdirected
             )
-        job.note(SendOutcome.MAY_HAVE_RUN, f"status {head.status} {head.reason}")
+        job.record_outcome(
+            SendOutcome.MAY_HAVE_RUN, f"status {head.status} {head.reason}"
+        )
         if (
             head.standing is not Standing.ANSWERED
             or not whole
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -159,11 +159,11 @@
     def refused_now(self, job: Job) -> Refusal | None:
         """Hold the retry that a send needs; return why it may not be sent, if so."""
         now = self.sender.clock()
-        refusal = job.refused_at(now)
+        refusal = job.drain_refusal(now)
         if refusal is not None:
             return refusal
         if job.sends and not self.budget.hold(
-            job.service, job, now, reserved=not job.may_come_back
+            job.service, job, now, reserved=not job.caller_may_retry
         ):
             self.on_denied(job.service, job.request.id)
             return Refusal(ErrorKind.RETRIES_EXHAUSTED, Unsent.NO_RETRY.value)
@@ -225,7 +225,7 @@
         now = self.sender.clock()
         first = job.path.first
         after = state.cutter.last_id
-        if now >= job.until:
+        if now >= job.deadline:
             if reserved is not None:
                 reserved.close()
             return self._unsent(NotSent(Unsent.OVERDUE))
@@ -234,7 +234,7 @@
         )
         sent = await self.sender.send(job, sending, fresh, reserved)
         if isinstance(sent, NotSent):
-            job.note(SendOutcome.NEVER_LEFT, sent.reason)
+            job.record_outcome(SendOutcome.NEVER_LEFT, sent.reason)
             return self._unsent(sent)
         self.note_send(job, job.path)
         return await self._pass_on(state, sent, None)
@@ -251,10 +251,10 @@
         """
         job = state.job
         try:
-            job.current = sent
+            job.current_exchange = sent
             self.stalls.begin(job, self.sender.clock())
             if job.caller.disconnected:
-                job.caller_gone()
+                job.on_caller_disconnect()
             state.cutter.restart()
             mover = Mover(self, state, job.path)
             run = StreamRun(
@@ -266,13 +266,13 @@
             sent.abandon()
             raise
         finally:
-            job.current = None
+            job.current_exchange = None
             self.stalls.end(job)
 
     def note_send(self, job: Job, path: Path) -> None:
         """Note that a run was sent on a path."""
         job.sends += 1
-        job.firsts.add(path.first.endpoint)
+        job.sent_to.add(path.first.endpoint)
         job.path = path
         age = self.sender.clock() - self.beliefs.fleet.known_at
         limit = self.beliefs.limits.named(path.first.endpoint)
--- a/packages/relay/tests/relay/test_admission.py
+++ b/packages/relay/tests/relay/test_admission.py
@@ -23,8 +23,8 @@
         route=SimpleNamespace(objective=0.5, gap=0.2),
         caller=SimpleNamespace(response_started=response_started, disconnected=False),
         urgency=1,
-        until=120.0,
-        progressed_at=103.0,
+        deadline=120.0,
+        last_event_at=103.0,
     )
 
 
--- a/packages/relay/tests/relay/test_drain.py
+++ b/packages/relay/tests/relay/test_drain.py
@@ -109,13 +109,13 @@
     sent = EndlessExchange()
 
     async def sends(job, shape):
-        job.current = sent
+        job.current_exchange = sent
         try:
             if begun:
                 job.caller.begin(200, HTTPHeaders(), b"some")
             await asyncio.Event().wait()
         finally:
-            job.current = None
+            job.current_exchange = None
 
     async def test():
         entry = entry_with(sends, log)
--- a/packages/relay/tests/relay/test_job.py
+++ b/packages/relay/tests/relay/test_job.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lacewingcourse.core.pipelines.routing import Organisation, RetrySafety
-from lacewingcourse.relay.job import MOST_REJECTIONS, Job
+from lacewingcourse.relay.job import MAX_REJECTIONS, Job
 from lacewingcourse.relay.upstream import SendOutcome
 
 from .routes import route_of
@@ -29,38 +29,38 @@
 def send(job, endpoint, outcome):
     """Note a send to an endpoint and what became of it."""
     job.sends += 1
-    job.firsts.add(endpoint)
-    job.note(outcome, "test")
+    job.sent_to.add(endpoint)
+    job.record_outcome(outcome, "test")
 
 
-def test_runs_are_bounded_by_the_routes_attempts(make_job):
+def test_attempts_are_bounded_by_the_route(make_job):
     job = make_job()
     send(job, "a", SendOutcome.MAY_HAVE_RUN)
     assert job.may_send_again
-    assert job.only_firsts is None
+    assert job.allowed_endpoints is None
     send(job, "b", SendOutcome.MAY_HAVE_RUN)
     assert not job.may_send_again
 
 
-def test_a_rejected_second_send_does_not_end_an_answer_that_is_read(make_job):
+def test_rejected_second_send_does_not_end_a_started_answer(make_job):
     """Seven answers of a day were cut off so, beside a change of configuration."""
     job = make_job()
     send(job, "a", SendOutcome.MAY_HAVE_RUN)
     send(job, "b", SendOutcome.REJECTED)
     assert job.may_send_again
-    assert job.only_firsts == {"a", "b"}
+    assert job.allowed_endpoints == {"a", "b"}
 
 
-def test_rejections_end_in_time(make_job):
+def test_rejections_are_bounded(make_job):
     job = make_job()
-    for _ in range(MOST_REJECTIONS):
+    for _ in range(MAX_REJECTIONS):
         send(job, "a", SendOutcome.REJECTED)
         assert job.may_send_again
     send(job, "a", SendOutcome.REJECTED)
     assert not job.may_send_again
 
 
-def test_what_may_run_once_is_not_sent_again_after_it_may_have_run(make_job):
+def test_non_idempotent_request_is_not_sent_again_after_it_may_have_run(make_job):
     job = make_job(RetrySafety.ONCE)
     send(job, "a", SendOutcome.REJECTED)
     assert job.may_send_again
--- a/packages/relay/tests/relay/test_last_requests.py
+++ b/packages/relay/tests/relay/test_last_requests.py
@@ -124,7 +124,7 @@
     clock = asyncio.get_running_loop().time
     for _ in range(job.caller.events):
         await asyncio.sleep(job.caller.interval())
-        job.progress(clock())
+        job.record_event(clock())
     job.caller.end()
 
 
--- a/packages/relay/tests/relay/test_path_finder.py
+++ b/packages/relay/tests/relay/test_path_finder.py
@@ -32,7 +32,7 @@
     __hash__ = object.__hash__
 
 
-def job_of(avoid=(), firsts=None):
+def job_of(avoid=(), allowed=None):
     """Return what the finder needs of a request."""
     caller = SimpleNamespace(response_started=False)
     request = SimpleNamespace(prompt=1_000, answer_hint=None, most_answer=0)
@@ -41,7 +41,7 @@
         caller=caller,
         avoid=set(avoid),
         request=request,
-        only_firsts=firsts,
+        allowed_endpoints=allowed,
         limited=set(),
     )
 
@@ -55,11 +55,11 @@
 def test_a_request_with_no_more_attempts_stays_with_the_endpoints_that_had_it(
     finder, shape
 ):
-    for firsts in ({"a"}, {"b"}):
-        path = finder.find(job_of(firsts=firsts), shape, DEMAND)
-        assert path.first.endpoint in firsts
+    for allowed in ({"a"}, {"b"}):
+        path = finder.find(job_of(allowed=allowed), shape, DEMAND)
+        assert path.first.endpoint in allowed
     fill(finder, "b")
-    assert isinstance(finder.find(job_of(firsts={"b"}), shape, DEMAND), Refusal)
+    assert isinstance(finder.find(job_of(allowed={"b"}), shape, DEMAND), Refusal)
 
 
 @pytest.mark.parametrize(("begun", "goes_on"), [(True, True), (False, False)])
--- a/packages/relay/tests/relay/test_restart_estimate.py
+++ b/packages/relay/tests/relay/test_restart_estimate.py
@@ -41,7 +41,7 @@
     """Return a function that makes an entry with one open answer."""
 
     def make(
-        most_answer=0, events=0, received=NOW, until=500.0, routed=True, **attributes
+        most_answer=0, events=0, received=NOW, deadline=500.0, routed=True, **attributes
     ):
         caller = Caller(response_ended=False, disconnected=False)
         vars(caller).update(attributes)
@@ -57,7 +57,7 @@
             route=route_of("rooms", RetrySafety.RESUMABLE_STREAM),
             service="rooms",
             events=events,
-            until=until,
+            deadline=deadline,
         )
         readiness = Readiness(beliefs, GRACE)
         readiness.start_drain(DRAIN_STARTED_AT)
@@ -112,7 +112,7 @@
 
 @pytest.mark.parametrize(
     "open_answer",
-    [{"until": NOW + 1.0}, {"response_ended": True}, {"disconnected": True}],
+    [{"deadline": NOW + 1.0}, {"response_ended": True}, {"disconnected": True}],
     ids=str,
 )
 def test_answer_lasts_no_longer_than_its_caller_waits(make_estimator, open_answer):
--- a/packages/relay/tests/relay/test_secured.py
+++ b/packages/relay/tests/relay/test_secured.py
@@ -101,7 +101,7 @@
 
     def leave(watcher) -> None:
         played.caller.disconnected = True
-        played.job.caller_gone()
+        played.job.on_caller_disconnect()
 
     play(played.serve((IN_PAUSE, played.dies("b")), (IN_PAUSE + 0.1, leave)))
     assert [run.abandoned for _, _, run in played.runs] == [True, True]
--- a/packages/relay/tests/relay/test_sent_while_ending.py
+++ b/packages/relay/tests/relay/test_sent_while_ending.py
@@ -36,7 +36,7 @@
     """Return a request that an entry which is asked to end takes no more."""
     readiness = Readiness(Beliefs(), GRACE, take_none)
     asyncio.get_running_loop().call_at(asked, readiness.start_drain, asked)
-    job.takes = lambda now: readiness.accepts(job.route.name, now, job.until)
+    job.accepts = lambda now: readiness.accepts(job.route.name, now, job.deadline)
     return job
 
 
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -49,7 +49,7 @@
         path=path,
         route=SimpleNamespace(gap=0.2, objective=0.5),
         may_move=may_move,
-        current=current,
+        current_exchange=current,
         avoid=set(),
         watched=None,
     )
@@ -109,7 +109,7 @@
     watcher = make_watcher(EngineReport((StalledRequest("r", "b:1"),)))
     job = make_job(path_of("a", "b"))
     watched_until(watcher, job, 0.2)
-    assert isinstance(job.current.arrivals.get_nowait(), Stalled)
+    assert isinstance(job.current_exchange.arrivals.get_nowait(), Stalled)
     assert job.avoid == {"b"}
     assert watcher.suspects.excluded(0.1) == {"b"}
 
@@ -119,7 +119,7 @@
     job = make_job(path_of("a", "b"))
     watched_until(watcher, job, 0.2)
     assert watcher.reports.asked == ["a:1", "b:1"]
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert watcher.suspects.excluded(0.1) == set()
 
 
@@ -145,7 +145,7 @@
     watched_until(watcher, job, 0.2)
     assert {"a:1", "b:1"} <= set(watcher.reports.asked)
     assert watcher.suspects.excluded(0.2) == set()
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert set(events) == {"not_suspected"}
 
 
@@ -185,7 +185,7 @@
         watcher.look(0.2)
 
     asyncio.run(run())
-    assert silent.current.arrivals.empty()
+    assert silent.current_exchange.arrivals.empty()
 
 
 def test_a_silent_stream_moves_at_once_when_a_peer_told_the_cause(make_watcher):
@@ -201,7 +201,7 @@
     watcher = make_watcher(EngineReport((StalledRequest("r", "b:1"),)))
     job = make_job(path_of("a", "b"), may_move=False)
     watched_until(watcher, job, 0.2)
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
 
 
 class Mute:
@@ -246,19 +246,19 @@
 def test_streams_behind_an_endpoint_without_answer_move_on_an_idle_fleet(make_watcher):
     first, second = streams_cut_off(make_watcher(EngineReport(), idle=True))
     assert (first.avoid, second.avoid) == ({"x"}, {"x"})
-    assert isinstance(first.current.arrivals.get_nowait(), Stalled)
+    assert isinstance(first.current_exchange.arrivals.get_nowait(), Stalled)
 
 
 def test_streams_behind_an_endpoint_without_answer_stay_on_a_busy_fleet(make_watcher):
     jobs = streams_cut_off(make_watcher(EngineReport(), idle=False))
-    assert all(job.current.arrivals.empty() for job in jobs)
+    assert all(job.current_exchange.arrivals.empty() for job in jobs)
 
 
 def test_streams_through_an_incarnation_that_ended_go_on_elsewhere(make_watcher):
     watcher = make_watcher(EngineReport(born=BORN + 1))
     job = make_job(path_of("a", "b"))
     watched_until(watcher, job, 0.2)
-    assert isinstance(job.current.arrivals.get_nowait(), Stalled)
+    assert isinstance(job.current_exchange.arrivals.get_nowait(), Stalled)
     assert job.avoid == {"a"}
     assert watcher.suspects.excluded(0.1) == set()
 
@@ -269,7 +269,7 @@
     watcher = make_watcher(Undecodable("no JSON"))
     job = make_job(path_of("a", "b"))
     watched_until(watcher, job, 0.2)
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert watcher.suspects.excluded(0.1) == set()
     assert events == ["report_unreadable"] * 2
 
@@ -292,7 +292,7 @@
     watcher.reports = OneDead("b:1")
     job = make_job(path_of("a", "b", "c"))
     watched_until(watcher, job, 0.13)
-    assert isinstance(job.current.arrivals.get_nowait(), Stalled)
+    assert isinstance(job.current_exchange.arrivals.get_nowait(), Stalled)
     assert job.avoid == {"b"}
     assert watcher.suspects.excluded(0.2) == {"b"}
 
@@ -308,7 +308,7 @@
     job = make_job(path_of("a"))
     watched_until(watcher, job, 0.13)
     assert answers == []
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert watcher.suspects.excluded(0.2) == set()
 
 
@@ -318,7 +318,7 @@
     watcher.clock = lambda: next(times)
     job = make_job(path_of("a"))
     watched_until(watcher, job, 0.13)
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert watcher.suspects.excluded(0.2) == set()
 
 
@@ -327,7 +327,7 @@
     job = make_job(path_of("a"))
     watched_until(watcher, job, 0.13)
     assert watcher.speeds.of("a", 0.1) == 5.0
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
 
 
 def test_a_slow_endpoint_is_asked_again_while_streams_use_it(make_watcher):
@@ -376,5 +376,5 @@
     job = make_job(path_of("a", "b"))
     watched_until(watcher, job, 0.2)
     assert watcher.reports.asked == ["a:1", "b:1"]
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert job.avoid == set()
--- a/packages/relay/tests/relay/test_streams.py
+++ b/packages/relay/tests/relay/test_streams.py
@@ -154,16 +154,16 @@
         ),
         waited=0.0,
         sends=0,
-        firsts=set(),
-        only_firsts=None,
-        until=10.0,
+        sent_to=set(),
+        allowed_endpoints=None,
+        deadline=10.0,
         avoid=set(),
         reason="",
         may_send_again=True,
         may_move=True,
     )
     job.sending = lambda *args: None
-    job.note = lambda outcome, reason: None
+    job.record_outcome = lambda outcome, reason: None
     job.failure = lambda kind, after: Refusal(kind, job.reason)
     return job
 
--- a/packages/relay/tests/relay/test_versions.py
+++ b/packages/relay/tests/relay/test_versions.py
@@ -65,7 +65,7 @@
         caller=SimpleNamespace(response_started=begun),
         avoid=set(),
         request=SimpleNamespace(prompt=1_000, answer_hint=None, most_answer=0),
-        only_firsts=None,
+        allowed_endpoints=None,
         limited=set(),
     )
 
@@ -168,7 +168,7 @@
         job.path = beliefs.paths("rooms", shape, 0.0)[0]
         job.route = SimpleNamespace(gap=0.2, objective=0.5)
         job.may_move, job.watched = True, None
-        job.current = SimpleNamespace(arrivals=asyncio.Queue())
+        job.current_exchange = SimpleNamespace(arrivals=asyncio.Queue())
         watcher.begin(job, -2.0)
         watcher.progress(job, -1.0)
         watcher.ask(job.path.first, 0.0)
@@ -176,4 +176,4 @@
             await asyncio.sleep(0)
         return job
 
-    assert asyncio.run(run()).current.arrivals.empty()
+    assert asyncio.run(run()).current_exchange.arrivals.empty()
