--- a/packages/relay/src/lacewingcourse/relay/admission.py
+++ b/packages/relay/src/lacewingcourse/relay/admission.py
@@ -26,7 +26,7 @@
 #: leave is heard of a few times a second, so no wake-up tells of it.
 RETRY_PERIOD = 0.03
 #: Reasons for which there may be a path a moment later.
-MOMENTARY = frozenset({ErrorKind.OVERLOADED, ErrorKind.NO_ROUTE})
+TRANSIENT_KINDS = frozenset({ErrorKind.OVERLOADED, ErrorKind.NO_ROUTE})
 
 
 @attrs.define
@@ -54,16 +54,16 @@
             choose: Returns a path, or why there is none at present.
         """
         now = self.clock()
-        found = self._now(job, choose, now)
-        queued = self._queued(job, demand, now)
-        if not _worth_waiting(found, job, queued.until - now):
+        found = self._choose_now(job, choose, now)
+        queued = self._queue_entry(job, demand, now)
+        if not _should_wait(found, job, queued.until - now):
             return found
         self.queue.push(queued)
         try:
             while not job.caller.disconnected:
                 now = self.clock()
                 left = queued.until - now
-                if left <= 0 or not _worth_waiting(found, job, left):
+                if left <= 0 or not _should_wait(found, job, left):
                     break
                 await asyncio.sleep(min(RETRY_PERIOD, left))
                 found = choose()
@@ -71,7 +71,7 @@
         finally:
             self.queue.discard(queued)
 
-    def _queued(self, job: Job, demand: Demand, now: float) -> QueuedRequest:
+    def _queue_entry(self, job: Job, demand: Demand, now: float) -> QueuedRequest:
         """Return how long a request waits."""
         if job.caller.response_started:
             patience = continued_wait(job.route.objective, job.route.gap)
@@ -80,7 +80,7 @@
             until = self.wait(job.request.received_at, job.route.objective)
         return QueuedRequest(job.urgency, demand.tokens, now, min(until, job.deadline))
 
-    def _now(
+    def _choose_now(
         self, job: Job, choose: Callable[[], Path | Refusal], now: float
     ) -> Path | Refusal:
         if (
@@ -91,7 +91,7 @@
         return choose()
 
 
-def _worth_waiting(found: Path | Refusal, job: Job, left: float) -> bool:
+def _should_wait(found: Path | Refusal, job: Job, left: float) -> bool:
     """Tell whether a request waits for room that may turn up soon.
 
     That nothing holds the layers may be news of a moment as well: an entry that has
@@ -110,4 +110,4 @@
         return False
     if found.kind is ErrorKind.RETRIES_EXHAUSTED:
         return not job.caller_may_retry
-    return found.kind in MOMENTARY
+    return found.kind in TRANSIENT_KINDS
--- a/packages/relay/tests/relay/test_admission.py
+++ b/packages/relay/tests/relay/test_admission.py
@@ -28,7 +28,7 @@
     )
 
 
-class Time:
+class ManualClock:
     """A clock that a test moves."""
 
     def __init__(self, now: float) -> None:
@@ -38,9 +38,9 @@
         return self.now
 
 
-def waits_until(job, start, monkeypatch):
+def give_up_time(job, start, monkeypatch):
     """Return when a request stops to wait for room that never comes."""
-    clock = Time(start)
+    clock = ManualClock(start)
 
     async def sleep(seconds):
         clock.now += seconds
@@ -51,15 +51,15 @@
     return clock.now
 
 
-def test_a_new_request_waits_while_it_can_be_in_time(monkeypatch):
+def test_new_request_waits_while_it_can_meet_its_objective(monkeypatch):
     """With two objectives late answers took the room of those still in time."""
-    until = waits_until(make_job(response_started=False), 100.0, monkeypatch)
+    until = give_up_time(make_job(response_started=False), 100.0, monkeypatch)
     assert abs(until - (100.0 + 0.5 * IN_TIME_SHARE)) < 0.01
 
 
-def test_a_stream_that_broke_waits_as_long_as_its_caller_bears(monkeypatch):
+def test_broken_stream_waits_as_long_as_its_caller(monkeypatch):
     """Cut after half the allowed pause, it was lost although room came later."""
-    until = waits_until(make_job(response_started=True), 103.1, monkeypatch)
+    until = give_up_time(make_job(response_started=True), 103.1, monkeypatch)
     assert abs(until - (103.0 + 2.2)) < 0.01
 
 
@@ -67,19 +67,19 @@
     ("objective", "gap", "leaves_after"),
     [(0.5, 0.2, 2.0), (0.503, 0.25, 2.012), (0.603, 0.3, 2.412), (0.1, 0.5, 4.0)],
 )
-def test_a_stream_that_broke_waits_longer_than_its_caller(objective, gap, leaves_after):
+def test_broken_stream_waits_longer_than_its_caller(objective, gap, leaves_after):
     """With one time for all routes, callers that would have read on were cut off."""
     assert continued_wait(objective, gap) > leaves_after
 
 
-def test_room_that_comes_is_taken(monkeypatch):
+def test_path_that_becomes_available_is_used(monkeypatch):
     found = iter([FULL, FULL, "path"])
 
     async def sleep(seconds):
         pass
 
     monkeypatch.setattr(asyncio, "sleep", sleep)
-    admission = Admission(Time(100.0))
+    admission = Admission(ManualClock(100.0))
     job = make_job(response_started=False)
     path = asyncio.run(admission.path_for(job, DEMAND, lambda: next(found)))
     assert path == "path"
@@ -87,10 +87,10 @@
 
 
 @pytest.mark.parametrize(("next_in", "waits"), [(0.0, True), (0.1, True), (0.5, False)])
-def test_a_request_waits_for_a_limited_endpoint_only_if_that_is_in_time(
+def test_request_waits_for_a_limited_endpoint_only_if_it_is_available_in_time(
     monkeypatch, next_in, waits
 ):
-    clock = Time(100.0)
+    clock = ManualClock(100.0)
 
     async def sleep(seconds):
         clock.now += seconds
