--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -32,16 +32,16 @@
 #: that come then have no further try.
 FIRST_CONFIGURATION_WAIT = 0.8
 #: Seconds after which a caller may try an entry again that knows no configuration.
-NOT_READY_RETRY = 0.5
+NOT_READY_RETRY_AFTER = 0.5
 #: Seconds after which a caller may try again that met an entry about to end while
 #: others serve; its next connection goes to another one. While every entry is ending,
 #: the time is that until the first is back.
-LEAVING_RETRY = 0.05
+DRAINING_RETRY_AFTER = 0.05
 #: Seconds by which that time is spread, so that those refused together do not return
 #: together.
-RETRY_SPREAD = 0.5
+RETRY_JITTER = 0.5
 #: Why a request is refused or cut short by an entry that leaves.
-LEAVING = Unsent.LEAVING.value
+DRAINING_REASON = Unsent.LEAVING.value
 
 
 @attrs.define
@@ -105,38 +105,38 @@
         """
         caller.cancel()
         try:
-            self._tell_end(caller, now)
+            self._answer_aborted(caller, now)
         except Exception as error:
             self.log.failed(error)
             if not caller.response_ended:
                 caller.abort()
 
-    def _tell_end(self, caller: CallerExchange, now: float) -> None:
+    def _answer_aborted(self, caller: CallerExchange, now: float) -> None:
         """End a request that was stopped, as truly as can be told."""
         job = self.jobs.get(caller)
         if caller.response_ended or caller.disconnected:
             return
         if job is None:
-            wait = self._other_entry()
-            refusal = Refusal(ErrorKind.DRAINING, LEAVING, retry_after=wait)
+            wait = self._retry_after()
+            refusal = Refusal(ErrorKind.DRAINING, DRAINING_REASON, retry_after=wait)
             self._refuse(caller, None, refusal)
             return
-        self._stop(job)
+        self._abandon_send(job)
         if caller.response_started:
             caller.abort()
-            cause = Refusal(ErrorKind.DRAINING, LEAVING, Outcome.PARTIAL)
+            cause = Refusal(ErrorKind.DRAINING, DRAINING_REASON, Outcome.PARTIAL)
             self.log.broken_off(job, cause, now)
             return
-        refusal = job.failure(ErrorKind.DRAINING, self._other_entry())
-        self.log.refused(job.request, refusal, job, self._basis(refusal))
+        refusal = job.failure(ErrorKind.DRAINING, self._retry_after())
+        self.log.refused(job.request, refusal, job, self._awaited_entry(refusal))
         self._refuse(caller, job.request, refusal)
 
-    def _stop(self, job: Job) -> None:
+    def _abandon_send(self, job: Job) -> None:
         """Stop what an endpoint does for a request that is cut short."""
         if job.current_exchange is None:
-            job.reason = LEAVING
+            job.reason = DRAINING_REASON
             return
-        job.record_outcome(SendOutcome.MAY_HAVE_RUN, LEAVING)
+        job.record_outcome(SendOutcome.MAY_HAVE_RUN, DRAINING_REASON)
         job.current_exchange.abandon()
 
     async def _serve(self, caller: CallerExchange) -> None:
@@ -148,10 +148,10 @@
             return
         request.body = bytes(caller.body)
         await self._wait_for_configuration(request)
-        job = await self._certain_job(caller, request)
+        job = await self._resolve_job(caller, request)
         if isinstance(job, Refusal):
-            job = self._with_return_time(job)
-            self.log.refused(request, job, None, self._basis(job))
+            job = self._with_retry_after(job)
+            self.log.refused(request, job, None, self._awaited_entry(job))
             self._refuse(caller, request, job)
             return
         if self.beliefs.crashes.is_refused(job.fingerprint, self.clock()):
@@ -169,12 +169,12 @@
         if refusal is None:
             if caller.response_complete:
                 self.beliefs.crashes.clear(job.fingerprint)
-                self._note_duration(job, now)
+                self._record_duration(job, now)
             self.log.served(job, now)
             return
         if not caller.response_started:
-            refusal = self._with_return_time(refusal)
-            self.log.refused(request, refusal, job, self._basis(refusal))
+            refusal = self._with_retry_after(refusal)
+            self.log.refused(request, refusal, job, self._awaited_entry(refusal))
             self._refuse(caller, request, refusal)
         elif caller.disconnected:
             self.log.served(job, now)
@@ -182,7 +182,7 @@
             caller.abort()
             self.log.broken_off(job, refusal, now)
 
-    def _note_duration(self, job: Job, now: float) -> None:
+    def _record_duration(self, job: Job, now: float) -> None:
         """Note how long a whole answer took."""
         durations, received = self.beliefs.durations, job.request.received_at
         durations.note(job.route.name, now - received)
@@ -201,7 +201,7 @@
                 return
             await asyncio.sleep(RETRY_PERIOD)
 
-    async def _certain_job(
+    async def _resolve_job(
         self, caller: CallerExchange, request: CallerRequest
     ) -> Job | Refusal:
         """Return what is to be done for a request, or why nothing is.
@@ -209,23 +209,25 @@
         What is not known here may have come meanwhile, if this entry has not heard for
         long that its configuration is the newest.
         """
-        job = self._job(caller, request)
+        job = self._route(caller, request)
         if not isinstance(job, Refusal) or not self.guard.may_be_outdated(job):
             return job
         await self.guard.wait_for_update()
-        job = self._job(caller, request)
+        job = self._route(caller, request)
         if isinstance(job, Refusal) and self.guard.may_be_outdated(job):
             return self.guard.refusal(self.rng.random())
         return job
 
-    def _job(self, caller: CallerExchange, request: CallerRequest) -> Job | Refusal:
+    def _route(self, caller: CallerExchange, request: CallerRequest) -> Job | Refusal:
         """Return what is to be done for a request, or why nothing is."""
         table = self.beliefs.table
         if table is None and self.readiness.draining:
-            return Refusal(ErrorKind.DRAINING, LEAVING)
+            return Refusal(ErrorKind.DRAINING, DRAINING_REASON)
         if table is None:
             reason = "no configuration is known yet"
-            return Refusal(ErrorKind.NOT_READY, reason, retry_after=NOT_READY_RETRY)
+            return Refusal(
+                ErrorKind.NOT_READY, reason, retry_after=NOT_READY_RETRY_AFTER
+            )
         route = table.route(request.host, request.path)
         if isinstance(route, Refusal):
             return route
@@ -257,13 +259,13 @@
             self._log_last_request(job, refusal is None, now)
         return refusal or job
 
-    def _with_return_time(self, refusal: Refusal) -> Refusal:
+    def _with_retry_after(self, refusal: Refusal) -> Refusal:
         """Return a refusal that sends no caller back to entries which are ending."""
         if refusal.kind is ErrorKind.DRAINING:
-            return attrs.evolve(refusal, retry_after=self._other_entry())
+            return attrs.evolve(refusal, retry_after=self._retry_after())
         if refusal.retry_after is None or not self.readiness.draining:
             return refusal
-        wait = max(refusal.retry_after, self._other_entry())
+        wait = max(refusal.retry_after, self._retry_after())
         return attrs.evolve(refusal, retry_after=wait)
 
     def _log_last_request(self, job: Job, taken: bool, now: float) -> None:
@@ -273,14 +275,14 @@
             job.request, taken, time, self.readiness.drain_deadline - now
         )
 
-    def _other_entry(self) -> float:
+    def _retry_after(self) -> float:
         """Return the seconds after which a caller meets an entry that serves it."""
         wait = self.ready_in()
         if not wait:
-            return LEAVING_RETRY
-        return wait + self.rng.uniform(0.0, RETRY_SPREAD)
+            return DRAINING_RETRY_AFTER
+        return wait + self.rng.uniform(0.0, RETRY_JITTER)
 
-    def _basis(self, refusal: Refusal) -> str:
+    def _awaited_entry(self, refusal: Refusal) -> str:
         """Return what the caller of a refused request waits for, empty for nothing."""
         waits = refusal.kind is ErrorKind.DRAINING and refusal.retry_after is not None
         return self.waits_for() if waits else ""
--- a/packages/relay/tests/relay/test_last_requests.py
+++ b/packages/relay/tests/relay/test_requests_while_draining.py
@@ -50,7 +50,7 @@
 #: Header that tells for how many seconds its caller waits.
 PATIENCE_HEADER = "Patience"
 #: What is taken unless an operator chooses otherwise.
-DEFAULT = RelaySettings.__attrs_attrs__.last_requests.default
+DEFAULT_POLICY = RelaySettings.__attrs_attrs__.last_requests.default
 
 
 class Caller(CallerStub):
@@ -80,7 +80,7 @@
 
 
 @attrs.define
-class LeavingEntry:
+class DrainingEntry:
     """An entry that serves streams until it ends.
 
     Attributes:
@@ -91,7 +91,7 @@
 
     gateway: Gateway
     drainer: Drainer
-    slowness: float = 1.0
+    slowdown: float = 1.0
 
     def call(
         self,
@@ -110,7 +110,7 @@
 
     def interval(self) -> float:
         """Return the seconds between two events of an answer."""
-        return INTERVAL * self.slowness
+        return INTERVAL * self.slowdown
 
     async def serve_usual_answers(self) -> None:
         """Serve answers of which nearly all are over in two seconds."""
@@ -147,18 +147,18 @@
 def entry(shape):
     """Return a function that makes an entry in the running loop."""
 
-    def make(choice: str) -> LeavingEntry:
+    def make(policy: str) -> DrainingEntry:
         clock = asyncio.get_running_loop().time
         beliefs = Beliefs()
-        figures = attrs.evolve(shape, event_tokens=EVENT_TOKENS)
+        engine_shape = attrs.evolve(shape, event_tokens=EVENT_TOKENS)
         route = route_of("rooms", RetrySafety.RESUMABLE_STREAM)
         beliefs.table = SimpleNamespace(
-            services={"rooms": SimpleNamespace(shape=figures)},
+            services={"rooms": SimpleNamespace(shape=engine_shape)},
             route=lambda host, path: route,
             organisation=lambda found, key: Organisation(""),
             keys=None,
         )
-        readiness = Readiness(beliefs, GRACE, LAST_REQUESTS.get(choice))
+        readiness = Readiness(beliefs, GRACE, LAST_REQUESTS.get(policy))
         codec = SimpleNamespace(
             decode=decode,
             refusal=lambda refusal, request: (
@@ -181,13 +181,13 @@
             Random(1),
         )
         callers = SimpleNamespace(open=set())
-        return LeavingEntry(gateway, Drainer(readiness, callers, gateway, clock))
+        return DrainingEntry(gateway, Drainer(readiness, callers, gateway, clock))
 
     return make
 
 
-async def call_while_leaving(
-    entry: LeavingEntry, after: float, patience: float | None = None
+async def call_while_draining(
+    entry: DrainingEntry, after: float, patience: float | None = None
 ) -> Caller:
     """Return a caller that met an entry some seconds after it was asked to end.
 
@@ -205,98 +205,96 @@
     return caller
 
 
-@pytest.mark.parametrize("choice", ["limited", "redirected"])
+@pytest.mark.parametrize("policy", ["limited", "redirected"])
 @pytest.mark.parametrize("after", [0.1, 1.0, 2.0, 2.9, 3.1, 4.5])
-def test_no_answer_is_cut_off_that_was_begun_after_the_request_to_end(
-    entry, choice, after
-):
+def test_answer_started_while_draining_is_not_aborted(entry, policy, after):
     async def test():
-        caller = await call_while_leaving(entry(choice), after)
+        caller = await call_while_draining(entry(policy), after)
         assert not caller.aborted
         assert caller.response_complete
 
     play(test())
 
 
-@pytest.mark.parametrize("choice", ["limited", "redirected"])
-def test_an_answer_that_may_outlast_the_end_is_refused_at_once(entry, choice):
+@pytest.mark.parametrize("policy", ["limited", "redirected"])
+def test_request_that_may_outlast_the_drain_is_refused_at_once(entry, policy):
     async def test():
-        caller = await call_while_leaving(entry(choice), 3.0)
+        caller = await call_while_draining(entry(policy), 3.0)
         assert caller.status == 503
         assert float(caller.headers["Retry-After"]) < 0.1
 
     play(test())
 
 
-def test_an_answer_whose_caller_leaves_before_the_end_is_taken(entry):
+def test_request_with_a_deadline_before_the_drain_deadline_is_accepted(entry):
     """While all entries end one after the other, callers have no other one."""
 
     async def test():
-        caller = await call_while_leaving(entry("limited"), 1.0, patience=6.0)
+        caller = await call_while_draining(entry("limited"), 1.0, patience=6.0)
         assert caller.status == 200
 
     play(test())
 
 
-def test_a_caller_that_can_meet_no_other_instance_yet_is_taken(entry):
+def test_request_is_accepted_until_the_balancer_redirects_callers(entry):
     """The balancer sends it here until it has missed two answers.
 
     Refused, it came back to the same entry, and had no further try.
     """
 
     async def test():
-        caller = await call_while_leaving(entry("redirected"), 2.0)
+        caller = await call_while_draining(entry("redirected"), 2.0)
         assert caller.response_complete
 
     play(test())
 
 
-def test_an_expectation_takes_an_answer_that_is_then_cut_off(entry):
+def test_expected_policy_accepts_an_answer_that_is_then_aborted(entry):
     """What was seen, kept as a choice for deployments where no answer is that long."""
 
     async def test():
-        caller = await call_while_leaving(entry("expected"), 3.0)
+        caller = await call_while_draining(entry("expected"), 3.0)
         assert caller.aborted
 
     play(test())
 
 
-def test_an_entry_may_take_nothing_more(entry):
+def test_none_policy_refuses_every_request(entry):
     async def test():
-        caller = await call_while_leaving(entry("none"), 0.1)
+        caller = await call_while_draining(entry("none"), 0.1)
         assert caller.status == 503
 
     play(test())
 
 
-@pytest.mark.parametrize("choice", ["limited", "none"])
-def test_each_request_that_comes_while_ending_is_logged(entry, choice):
+@pytest.mark.parametrize("policy", ["limited", "none"])
+def test_each_request_received_while_draining_is_logged(entry, policy):
     async def test():
-        leaving = entry(choice)
-        await leaving.call(1).task
-        leaving.gateway.readiness.start_drain(asyncio.get_running_loop().time())
-        await leaving.call(1).task
-        assert leaving.gateway.log.events.count("last_request") == 1
+        draining_entry = entry(policy)
+        await draining_entry.call(1).task
+        draining_entry.gateway.readiness.start_drain(asyncio.get_running_loop().time())
+        await draining_entry.call(1).task
+        assert draining_entry.gateway.log.events.count("last_request") == 1
 
     play(test())
 
 
-@pytest.mark.parametrize("slowness", [1.5, 2.0, 4.0])
+@pytest.mark.parametrize("slowdown", [1.5, 2.0, 4.0])
 @pytest.mark.parametrize("events", [60, 100, 130])
 @pytest.mark.parametrize("after", [2.6, 3.1, 3.4, 4.5])
-def test_no_answer_begun_late_is_cut_off_when_endpoints_slow_down_meanwhile(
-    entry, after, events, slowness
+def test_answer_accepted_late_is_not_aborted_when_endpoints_slow_down(
+    entry, after, events, slowdown
 ):
     async def test():
-        leaving = entry(DEFAULT)
-        await leaving.serve_usual_answers()
-        leaving.gateway.readiness.start_drain(asyncio.get_running_loop().time())
-        ending = asyncio.ensure_future(leaving.drainer.run())
-        leaving.call(MAX_EVENTS)
+        draining_entry = entry(DEFAULT_POLICY)
+        await draining_entry.serve_usual_answers()
+        draining_entry.gateway.readiness.start_drain(asyncio.get_running_loop().time())
+        ending = asyncio.ensure_future(draining_entry.drainer.run())
+        draining_entry.call(MAX_EVENTS)
         await asyncio.sleep(after)
-        caller = leaving.call(events, max_events=events)
+        caller = draining_entry.call(events, max_events=events)
         await asyncio.sleep(0.2)
-        leaving.slowness = slowness
+        draining_entry.slowdown = slowdown
         await ending
         assert not caller.aborted
 
--- a/packages/relay/tests/relay/test_sent_while_ending.py
+++ b/packages/relay/tests/relay/test_sent_while_ending.py
@@ -14,14 +14,14 @@
 from lacewingcourse.relay.admission import RETRY_PERIOD
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.connections import NotSent, Unsent
-from lacewingcourse.relay.gateway import LEAVING
+from lacewingcourse.relay.gateway import DRAINING_REASON
 from lacewingcourse.relay.readiness import Readiness
 from lacewingcourse.relay.sending import Sender, WholeAnswer
 
 from .stream_play import Engine, StreamPlay, path_of, whole_answer
 from .test_calls import REJECTED, CallPlay
 from .test_drain import OTHER_ENTRY_READY_IN, LogRecorder, entry_with
-from .test_last_requests import Caller
+from .test_requests_while_draining import Caller
 from .virtual_time import play
 
 #: Seconds in which an entry must have ended.
@@ -208,7 +208,7 @@
 
 def test_a_request_that_is_refused_late_comes_back_to_another_entry():
     async def refuses(job, shape):
-        return Refusal(ErrorKind.DRAINING, LEAVING, retry_after=9.0)
+        return Refusal(ErrorKind.DRAINING, DRAINING_REASON, retry_after=9.0)
 
     async def test():
         caller = Caller(1)
--- a/packages/relay/tests/relay/test_request_to_end.py
+++ b/packages/relay/tests/relay/test_sigterm.py
@@ -53,19 +53,19 @@
     return make
 
 
-def test_the_grace_time_counts_from_before_a_loop_that_was_held_up(make_application):
+def test_grace_time_starts_before_a_blocked_loop_handles_sigterm(make_application):
     entry = make_application()
     Application._on_term(entry)
     assert entry.readiness.drain_started_at == BEFORE
 
 
-def test_other_entries_are_told_of_the_request_to_end_at_once(make_application):
+def test_peers_are_notified_of_the_drain_at_once(make_application):
     entry = make_application()
     Application._on_term(entry)
     assert entry.told == [True]
 
 
-def test_a_defect_in_the_expected_end_does_not_keep_the_entry_from_ending(
+def test_exception_while_logging_the_drain_does_not_prevent_it(
     make_application,
 ):
     def defect():
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(("leaves", "counted"), [(True, 2.0), (False, 0.0)])
-def test_time_for_which_the_machine_was_suspended_is_gone(
+def test_suspended_time_counts_towards_the_drain_deadline(
     make_application, leaves, counted
 ):
     entry = make_application()
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("leaves", [True, False])
 @pytest.mark.parametrize("kind", [ErrorKind.OVERLOADED, ErrorKind.RETRIES_EXHAUSTED])
-def test_no_caller_is_sent_back_to_entries_that_are_all_ending(kind, leaves):
+def test_retry_after_is_raised_while_every_entry_drains(kind, leaves):
     async def lacks(job, shape):
         return Refusal(kind, "no path has memory", retry_after=0.5)
 
--- a/packages/relay/tests/relay/test_staleness.py
+++ b/packages/relay/tests/relay/test_staleness.py
@@ -96,7 +96,7 @@
         if confirmed is not None:
             loop.call_later(0.1, confirmed, configuration)
         caller, began_at = SimpleNamespace(response_started=False), loop.time()
-        result = await gateway._certain_job(caller, request)
+        result = await gateway._resolve_job(caller, request)
         return result, loop.time() - began_at
 
     return play(resolved())
