--- a/packages/relay/src/lacewingcourse/relay/calls.py
+++ b/packages/relay/src/lacewingcourse/relay/calls.py
@@ -40,11 +40,11 @@
     from lacewingcourse.relay.upstream import Exchange
 
 #: Connections that may fail to be made for one request before it is refused.
-MOST_NOT_SENT = 3
+MAX_CONNECT_FAILURES = 3
 #: Objectives after which an idempotent call is tried at another endpoint.
 PATIENCE_OBJECTIVES = 2.5
 #: How a call ends that was not sent for a reason which lies with no endpoint.
-UNSENT_ENDS = {
+UNSENT_ERROR_KINDS = {
     Unsent.OVERDUE: ErrorKind.DEADLINE_EXCEEDED,
     Unsent.NO_DESCRIPTOR: ErrorKind.OVERLOADED,
     Unsent.LEAVING: ErrorKind.DRAINING,
@@ -83,14 +83,14 @@
 
     async def _serve(self, job: Job) -> WholeAnswer | Refusal:
         """Send a call until it is answered or cannot be sent again."""
-        unsent = 0
+        connect_failures = 0
         last: WholeAnswer | None = None
         while True:
             now = self.sender.clock()
             if now >= job.deadline:
                 return last or job.failure(ErrorKind.DEADLINE_EXCEEDED, None)
             endpoint = self._choose(job, now)
-            if isinstance(endpoint, Refusal) and self._waits(job, endpoint, now):
+            if isinstance(endpoint, Refusal) and self._should_wait(job, endpoint, now):
                 await asyncio.sleep(RETRY_PERIOD)
                 continue
             if isinstance(endpoint, Refusal):
@@ -99,15 +99,17 @@
             result = await self._attempt(job, endpoint)
             if isinstance(result, NotSent) and result.cause is Unsent.OVER_LIMIT:
                 continue
-            if isinstance(result, NotSent) and result.cause in UNSENT_ENDS:
+            if isinstance(result, NotSent) and result.cause in UNSENT_ERROR_KINDS:
                 job.reason = result.reason
-                return last or job.failure(UNSENT_ENDS[result.cause], CALL_RETRY_AFTER)
+                return last or job.failure(
+                    UNSENT_ERROR_KINDS[result.cause], CALL_RETRY_AFTER
+                )
             if isinstance(result, NotSent):
                 self.beliefs.suspects.suspect(endpoint.id, result.reason, now)
                 job.avoid.add(endpoint.id)
                 job.reason = result.reason
-                unsent += 1
-                if unsent >= MOST_NOT_SENT:
+                connect_failures += 1
+                if connect_failures >= MAX_CONNECT_FAILURES:
                     return last or job.failure(ErrorKind.NO_ROUTE, CALL_RETRY_AFTER)
                 continue
             job.avoid.add(endpoint.id)
@@ -123,9 +125,9 @@
                 now = self.sender.clock()
                 self.beliefs.crashes.strike(job.fingerprint, endpoint.id, now)
             if not job.may_try_another:
-                return self._failed(job, result)
+                return self._failure(job, result)
 
-    def _waits(self, job: Job, refusal: Refusal, now: float) -> bool:
+    def _should_wait(self, job: Job, refusal: Refusal, now: float) -> bool:
         """Tell whether a call that found no endpoint may find one in a moment."""
         if refusal.kind is ErrorKind.DRAINING:
             return False
@@ -194,14 +196,14 @@
         self.beliefs.loads.begin_call(endpoint.id)
         try:
             fresh = not job.route.retry_safety.may_retry
-            result = await self._ask(job, endpoint, fresh)
+            result = await self._send(job, endpoint, fresh)
             if not isinstance(result, NoAnswer) or not result.dropped:
                 return result
             # Endpoints drop kept connections without notice; it is no lost run.
             self.sender.pool.drop(endpoint.address)
             job.sends -= 1
             job.record_outcome(result.outcome, result.reason)
-            again = await self._ask(job, endpoint, fresh=True)
+            again = await self._send(job, endpoint, fresh=True)
             if isinstance(again, NotSent) and again.cause is Unsent.UNREACHABLE:
                 # It is gone, perhaps under this call.
                 job.sends += 1
@@ -210,7 +212,7 @@
         finally:
             self.beliefs.loads.end_call(endpoint.id)
 
-    async def _ask(
+    async def _send(
         self, job: Job, endpoint: Endpoint, fresh: bool
     ) -> WholeAnswer | NoAnswer | NotSent:
         """Send a call to an endpoint and read its answer.
@@ -253,31 +255,31 @@
         an answer that would have come in time is lost where there is none.
         """
         reader = AnswerReader(self.sender, exchange, job.request, sent_at)
-        answer = await reader.read(self._patience(job, sent_at))
+        answer = await reader.read(self._answer_timeout_at(job, sent_at))
         while answer is None:
             now = self.sender.clock()
             if now >= job.deadline:
                 return reader.give_up("no answer in time", timed_out=True)
-            if self._may_leave(job, endpoint, now):
+            if self._may_switch(job, endpoint, now):
                 return reader.give_up("no answer yet, and another one may give it")
             answer = await reader.read(min(job.deadline, now + RETRY_PERIOD))
         return answer
 
-    def _may_leave(self, job: Job, endpoint: Endpoint, now: float) -> bool:
+    def _may_switch(self, job: Job, endpoint: Endpoint, now: float) -> bool:
         """Tell whether another endpoint may be asked in place of a slow one."""
         if not job.may_try_another:
             return False
         other = self._choose(job, now, besides=(endpoint.id,))
         return not isinstance(other, Refusal)
 
-    def _patience(self, job: Job, now: float) -> float:
+    def _answer_timeout_at(self, job: Job, now: float) -> float:
         """Return until when an endpoint is waited for before another one is tried."""
         if not job.route.retry_safety.may_retry or not job.may_try_another:
             return job.deadline
         patience = max(0.1, PATIENCE_OBJECTIVES * job.route.objective)
         return min(job.deadline, now + patience)
 
-    def _failed(self, job: Job, result: NoAnswer) -> Refusal:
+    def _failure(self, job: Job, result: NoAnswer) -> Refusal:
         if result.timed_out:
             return job.failure(ErrorKind.DEADLINE_EXCEEDED, None)
         if result.outcome is SendOutcome.REJECTED:
--- a/packages/relay/tests/relay/test_calls.py
+++ b/packages/relay/tests/relay/test_calls.py
@@ -42,13 +42,13 @@
 from .virtual_time import play
 
 #: Seconds that a slow endpoint takes, and a quick one.
-SLOW = 1.0
-QUICK = 0.05
+SLOW_SECONDS = 1.0
+FAST_SECONDS = 0.05
 #: Status of an endpoint that has not run a call.
 REJECTED = 503
 
 
-class Send:
+class FakeExchange:
     """A send to an endpoint that answers after some time."""
 
     def __init__(self, name: str, seconds: float, status: int, dropped: bool) -> None:
@@ -93,10 +93,10 @@
     retry_safety: RetrySafety = RetrySafety.IDEMPOTENT
     unsent: Unsent | None = None
     drops: bool = False
-    slow: float = SLOW
+    slow: float = SLOW_SECONDS
 
     def __attrs_post_init__(self) -> None:
-        self.sends: list[Send] = []
+        self.sends: list[FakeExchange] = []
         self.sent_to: list[str] = []
         self.budget = RetryBudget(0.0, 10.0, self.slack)
         self.beliefs = Beliefs()
@@ -138,7 +138,7 @@
             return NotSent(self.unsent)
         return SimpleNamespace(close=lambda: None, reused=not fresh)
 
-    async def send(self, job, sending, fresh) -> Send | NotSent:
+    async def send(self, job, sending, fresh) -> FakeExchange | NotSent:
         return await Sender.send(self, job, sending, fresh)
 
     #: What a send needs is decided as it really is.
@@ -149,10 +149,10 @@
     def limits(self) -> SendLimits:
         return self.beliefs.send_limits
 
-    def start(self, job, sending, connection) -> Send:
-        seconds = QUICK if self.sends else self.slow
+    def start(self, job, sending, connection) -> FakeExchange:
+        seconds = FAST_SECONDS if self.sends else self.slow
         dropped = self.drops and connection.reused
-        self.sends.append(Send(sending.endpoint, seconds, self.status, dropped))
+        self.sends.append(FakeExchange(sending.endpoint, seconds, self.status, dropped))
         self.sent_to.append(sending.endpoint)
         return self.sends[-1]
 
@@ -161,28 +161,28 @@
 
 
 @pytest.mark.parametrize("lacks", [{"slack": NONE}, {"endpoints": 1}])
-def test_a_slow_endpoint_is_waited_for_where_nothing_replaces_it(lacks):
+def test_slow_endpoint_is_awaited_without_a_retry_or_another_endpoint(lacks):
     played = CallPlay(**lacks)
     answer = play(played.serve())
     assert isinstance(answer, WholeAnswer)
     assert len(played.sends) == 1
 
 
-def test_a_slow_endpoint_is_left_for_one_that_may_be_asked():
+def test_slow_endpoint_is_abandoned_for_another_endpoint():
     played = CallPlay()
     answer = play(played.serve())
     assert isinstance(answer, WholeAnswer)
     assert [send.abandoned for send in played.sends] == [True, False]
 
 
-def test_a_call_that_may_run_once_waits_for_its_endpoint():
+def test_non_idempotent_call_waits_for_its_endpoint():
     played = CallPlay(retry_safety=RetrySafety.ONCE)
     assert isinstance(play(played.serve()), WholeAnswer)
     assert len(played.sends) == 1
 
 
 @pytest.mark.parametrize("retry_safety", [RetrySafety.IDEMPOTENT, RetrySafety.ONCE])
-def test_a_call_is_answered_although_kept_connections_were_dropped(retry_safety):
+def test_call_is_answered_after_kept_connections_were_dropped(retry_safety):
     """Its callers got 502 although the endpoint lived."""
     played = CallPlay(slack=NONE, endpoints=1, drops=True, retry_safety=retry_safety)
     assert isinstance(play(played.serve()), WholeAnswer)
@@ -195,7 +195,7 @@
         (Unsent.NO_DESCRIPTOR, ErrorKind.OVERLOADED),
     ],
 )
-def test_what_lies_with_no_endpoint_takes_none_from_other_calls(cause, kind):
+def test_local_send_failure_does_not_suspect_the_endpoint(cause, kind):
     """Its endpoint was taken for one that cannot be reached, and left out for all."""
     played = CallPlay(unsent=cause)
     ended = play(played.serve())
@@ -204,7 +204,7 @@
     assert played.beliefs.suspects.excluded(0.0) == set()
 
 
-def test_a_call_that_no_endpoint_ran_is_refused_as_such():
+def test_rejected_call_without_a_retry_is_reported_as_not_run():
     """Its caller was told that it may have run, and not when to come back."""
     ended = play(CallPlay(slack=NONE, status=REJECTED).serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
@@ -212,7 +212,7 @@
     assert ended.retry_after is not None
 
 
-def test_a_defect_stops_what_an_endpoint_does_for_a_call():
+def test_exception_while_reading_the_answer_abandons_the_exchange():
     """The endpoint works on for a caller that has been answered 500."""
     played = CallPlay(endpoints=1)
 
@@ -231,14 +231,14 @@
         played.beliefs.limits.observe(name, 2.0, 0.0, 0.0)
 
 
-def test_a_call_goes_past_an_endpoint_that_is_at_its_limit():
-    played = CallPlay(slow=QUICK)
+def test_call_skips_an_endpoint_at_its_limit():
+    played = CallPlay(slow=FAST_SECONDS)
     name_limit(played, "e0")
     assert isinstance(play(played.serve()), WholeAnswer)
     assert played.sent_to == ["e1"]
 
 
-def test_a_call_that_only_limited_endpoints_could_serve_may_come_back():
+def test_call_is_overloaded_when_every_endpoint_is_at_its_limit():
     played = CallPlay()
     name_limit(played, "e0", "e1")
     ended = play(played.serve())
@@ -248,7 +248,7 @@
     assert played.sends == []
 
 
-def test_a_slow_endpoint_is_not_left_for_one_that_is_at_its_limit():
+def test_slow_endpoint_is_not_abandoned_for_one_at_its_limit():
     played = CallPlay()
     name_limit(played, "e0", "e1")
     grant = Grant("i", (0.0,), 10.0)
@@ -257,9 +257,9 @@
     assert played.sent_to == ["e0"]
 
 
-def test_a_call_on_a_dropped_connection_takes_another_permit():
+def test_resend_after_a_dropped_connection_needs_another_permit():
     """The endpoint may have got it: the second send is one more."""
-    played = CallPlay(endpoints=1, drops=True, slow=QUICK)
+    played = CallPlay(endpoints=1, drops=True, slow=FAST_SECONDS)
     name_limit(played, "e0")
     grant = Grant("i", (0.0,), 10.0)
     played.beliefs.send_limits.sharing.take("e0", grant, "i", 0.0, 0.0, 0.0)
--- a/packages/relay/tests/relay/test_retries_at_once.py
+++ b/packages/relay/tests/relay/test_retries_at_once.py
@@ -17,7 +17,7 @@
 from lacewingcourse.relay.sending import WholeAnswer
 
 from .stream_play import PLENTY, STEP, Engine, StreamPlay, whole_answer
-from .test_calls import QUICK, REJECTED, CallPlay
+from .test_calls import FAST_SECONDS, REJECTED, CallPlay
 from .virtual_time import play
 
 #: Requests of an endpoint, and the retries that are left when it is lost.
@@ -145,7 +145,7 @@
 
 
 def test_calls_rejected_at_one_moment_stay_within_the_budget(budget):
-    made = [CutCall(status=REJECTED, slow=QUICK) for _ in range(REQUESTS)]
+    made = [CutCall(status=REJECTED, slow=FAST_SECONDS) for _ in range(REQUESTS)]
     for played in made:
         played.budget = budget
     ends = serve(made)
@@ -208,8 +208,8 @@
 
 
 def test_a_call_whose_loan_ends_while_it_connects_is_refused(loan):
-    played = CutCall(status=REJECTED, slow=QUICK)
-    played.budget = loan(QUICK + 1.5 * CONNECTING)
+    played = CutCall(status=REJECTED, slow=FAST_SECONDS)
+    played.budget = loan(FAST_SECONDS + 1.5 * CONNECTING)
     (ended,) = serve([played])
     assert len(played.sends) == 1
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
@@ -240,7 +240,7 @@
 def test_a_request_cancelled_while_it_connects_leaves_its_retry(
     streams, budget, service
 ):
-    calls = [CutCall(status=REJECTED, slow=QUICK)]
+    calls = [CutCall(status=REJECTED, slow=FAST_SECONDS)]
     (played,) = streams(BREAKS, 1) if service == "rooms" else calls
     played.budget = budget
 
--- a/packages/relay/tests/relay/test_sent_while_ending.py
+++ b/packages/relay/tests/relay/test_sends_while_draining.py
@@ -27,21 +27,23 @@
 #: Seconds in which an entry must have ended.
 GRACE = 8.0
 #: When an entry is asked to end, seconds.
-ASKED = 0.1
+DRAIN_STARTS_AT = 0.1
 #: When an answer comes to what was sent before, seconds.
-AFTER = 0.2
+AFTER_DRAIN_START = 0.2
 
 
-def takes_until_asked(job, asked=ASKED):
+def accept_until_drain(job, drain_starts_at=DRAIN_STARTS_AT):
     """Return a request that an entry which is asked to end takes no more."""
     readiness = Readiness(Beliefs(), GRACE, take_none)
-    asyncio.get_running_loop().call_at(asked, readiness.start_drain, asked)
+    asyncio.get_running_loop().call_at(
+        drain_starts_at, readiness.start_drain, drain_starts_at
+    )
     job.accepts = lambda now: readiness.accepts(job.route.name, now, job.deadline)
     return job
 
 
 @attrs.define(slots=False)
-class EndingStream(StreamPlay):
+class DrainingStream(StreamPlay):
     """A stream whose entry is asked to end.
 
     Attributes:
@@ -51,11 +53,11 @@
     """
 
     is_full: bool = False
-    connecting: float = 0.0
-    asked: float = ASKED
+    connect_seconds: float = 0.0
+    drain_starts_at: float = DRAIN_STARTS_AT
 
     def _job(self):
-        return takes_until_asked(super()._job(), self.asked)
+        return accept_until_drain(super()._job(), self.drain_starts_at)
 
     def _find(self, job, shape, demand, besides=()):
         if self.is_full and self.clock() < self.room_from:
@@ -64,12 +66,12 @@
 
     async def reserve(self, address, fresh):
         if self.runs:
-            await asyncio.sleep(self.connecting)
+            await asyncio.sleep(self.connect_seconds)
         return await super().reserve(address, fresh)
 
 
 @attrs.define(slots=False)
-class EndingCall(CallPlay):
+class DrainingCall(CallPlay):
     """A call whose entry is asked to end.
 
     Attributes:
@@ -79,65 +81,69 @@
     objective: float = 0.2
 
     def _job(self):
-        job = takes_until_asked(super()._job())
+        job = accept_until_drain(super()._job())
         job.route = attrs.evolve(job.route, objective=self.objective)
         return job
 
 
-def test_a_request_waits_for_room_no_longer_than_an_ending_entry_takes_it(shape):
-    played = EndingStream(shape, {}, is_full=True, room_from=AFTER)
+def test_stream_stops_waiting_for_a_path_when_the_entry_drains(shape):
+    played = DrainingStream(shape, {}, is_full=True, room_from=AFTER_DRAIN_START)
     ended = play(played.serve())
     assert played.firsts == []
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
-    assert played.ended_at <= ASKED + 2 * RETRY_PERIOD
+    assert played.ended_at <= DRAIN_STARTS_AT + 2 * RETRY_PERIOD
 
 
-def test_a_rejected_request_is_not_sent_again_by_an_ending_entry(shape):
-    engines = {"a": Engine(status=REJECTED, accepts_after=AFTER)}
-    played = EndingStream(shape, engines)
+def test_rejected_stream_is_not_sent_again_by_a_draining_entry(shape):
+    engines = {"a": Engine(status=REJECTED, accepts_after=AFTER_DRAIN_START)}
+    played = DrainingStream(shape, engines)
     ended = play(played.serve())
     assert played.firsts == ["a"]
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
 
 
-def test_a_request_that_may_have_run_is_not_told_as_not_run(shape):
-    lost = Engine(accepts_after=AFTER, pause_after=0, breaks=True)
-    played = EndingStream(shape, {"a": lost})
+def test_stream_that_may_have_run_is_reported_as_unknown(shape):
+    lost = Engine(accepts_after=AFTER_DRAIN_START, pause_after=0, breaks=True)
+    played = DrainingStream(shape, {"a": lost})
     ended = play(played.serve())
     assert played.firsts == ["a"]
     assert ended.outcome is Outcome.UNKNOWN
 
 
-def test_an_answer_that_was_begun_goes_on_elsewhere(shape):
-    played = EndingStream(shape, {"a": Engine(pause_after=5, breaks=True)})
+def test_started_answer_is_resumed_on_another_path(shape):
+    played = DrainingStream(shape, {"a": Engine(pause_after=5, breaks=True)})
     assert play(played.serve()) is None
     assert played.firsts == ["a", "c"]
     assert played.caller.body == whole_answer()
 
 
-@pytest.mark.parametrize(("asked", "connecting"), [(ASKED, 0.0), (0.3, 0.2)])
-def test_a_silent_run_is_not_closed_for_one_that_may_not_be_sent(
-    shape, asked, connecting
+@pytest.mark.parametrize(
+    ("drain_starts_at", "connect_seconds"), [(DRAIN_STARTS_AT, 0.0), (0.3, 0.2)]
+)
+def test_silent_run_is_not_closed_for_a_run_that_may_not_be_sent(
+    shape, drain_starts_at, connect_seconds
 ):
     engines = {"a": Engine(accepts_after=1.0)}
-    played = EndingStream(shape, engines, connecting=connecting, asked=asked)
-    play(played.serve((AFTER, played.dies("b"))))
+    played = DrainingStream(
+        shape, engines, connect_seconds=connect_seconds, drain_starts_at=drain_starts_at
+    )
+    play(played.serve((AFTER_DRAIN_START, played.dies("b"))))
     assert played.firsts == ["a"]
     assert played.caller.body == whole_answer()
 
 
-def test_a_connection_that_was_made_too_late_carries_no_request(shape):
+def test_connection_established_after_the_drain_started_is_closed(shape):
     made = SimpleNamespace(closed=False)
 
     def close() -> None:
         made.closed = True
 
     async def connect(address):
-        await asyncio.sleep(AFTER)
+        await asyncio.sleep(AFTER_DRAIN_START)
         return SimpleNamespace(close=close)
 
     async def test():
-        played = EndingStream(shape, {})
+        played = DrainingStream(shape, {})
         job = played._job()
         pool = SimpleNamespace(connect=connect)
         sender = Sender(pool, None, played.clock, played.budget)
@@ -150,46 +156,46 @@
 
 
 @attrs.define(slots=False)
-class LateStream(EndingStream):
+class LateStream(DrainingStream):
     """A stream whose connections are made after the entry was asked to end."""
 
     async def send(self, job, sending, fresh, reserved=None):
-        await asyncio.sleep(AFTER)
+        await asyncio.sleep(AFTER_DRAIN_START)
         return NotSent(Unsent.LEAVING)
 
 
 @attrs.define(slots=False)
-class LateCall(EndingCall):
+class LateCall(DrainingCall):
     """A call whose connections are made after the entry was asked to end."""
 
     async def send(self, job, sending, fresh):
-        await asyncio.sleep(AFTER)
+        await asyncio.sleep(AFTER_DRAIN_START)
         return NotSent(Unsent.LEAVING)
 
 
-def test_a_stream_that_was_not_sent_takes_no_endpoint_from_others(shape):
+def test_stream_refused_while_draining_does_not_suspect_the_endpoint(shape):
     played = LateStream(shape, {})
     ended = play(played.serve())
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
     assert played.beliefs.suspects.excluded(0.0) == set()
 
 
-def test_a_call_that_was_not_sent_takes_no_endpoint_from_others():
+def test_call_refused_while_draining_does_not_suspect_the_endpoint():
     played = LateCall()
     ended = play(played.serve())
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
     assert played.beliefs.suspects.excluded(0.0) == set()
 
 
-def test_a_rejected_call_is_not_sent_again_by_an_ending_entry():
-    played = EndingCall(status=REJECTED)
+def test_rejected_call_is_not_sent_again_by_a_draining_entry():
+    played = DrainingCall(status=REJECTED)
     ended = play(played.serve())
     assert len(played.sends) == 1
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
 
 
-def test_a_call_waits_for_an_endpoint_no_longer_than_an_ending_entry_takes_it():
-    played = EndingCall(endpoints=0, objective=2.0)
+def test_call_stops_waiting_for_an_endpoint_when_the_entry_drains():
+    played = DrainingCall(endpoints=0, objective=2.0)
 
     async def test():
         ended = await played.serve()
@@ -197,16 +203,16 @@
 
     ended, ended_at = play(test())
     assert ended.kind is ErrorKind.DRAINING
-    assert ended_at <= ASKED + 2 * RETRY_PERIOD
+    assert ended_at <= DRAIN_STARTS_AT + 2 * RETRY_PERIOD
 
 
-def test_a_slow_call_is_not_closed_for_one_that_may_not_be_sent():
-    played = EndingCall()
+def test_slow_call_is_not_abandoned_for_one_that_may_not_be_sent():
+    played = DrainingCall()
     assert isinstance(play(played.serve()), WholeAnswer)
     assert len(played.sends) == 1
 
 
-def test_a_request_that_is_refused_late_comes_back_to_another_entry():
+def test_retry_after_of_a_drain_refusal_is_that_of_another_entry():
     async def refuses(job, shape):
         return Refusal(ErrorKind.DRAINING, DRAINING_REASON, retry_after=9.0)
 
