--- a/packages/relay/src/lacewingcourse/relay/limited_choice.py
+++ b/packages/relay/src/lacewingcourse/relay/limited_choice.py
@@ -49,8 +49,8 @@
     other = choose([each for each in candidates if endpoint_of(each) not in blocked])
     if not is_no_route(other):
         return other
-    wanted = {endpoint_of(each) for each in candidates} & blocked
-    next_in = limits.next_in(wanted, now)
+    limited = {endpoint_of(each) for each in candidates} & blocked
+    next_in = limits.next_in(limited, now)
     return Refusal(ErrorKind.OVERLOADED, AT_LIMIT, retry_after=next_in)
 
 
--- a/packages/relay/src/lacewingcourse/relay/path_finder.py
+++ b/packages/relay/src/lacewingcourse/relay/path_finder.py
@@ -26,7 +26,7 @@
 
 #: Share of an endpoint's memory up to which the fleet counts as idle: a stream that is
 #: moved on a mere sign then takes nothing from others.
-IDLE_SHARE = 0.5
+IDLE_MEMORY_SHARE = 0.5
 
 
 @attrs.define
@@ -77,10 +77,10 @@
             return False
         demand = demand_of(job, shape)
         avoided = job.avoid.union(avoid)
-        found = self._choose(job, shape, demand, avoided, IDLE_SHARE)
+        found = self._choose(job, shape, demand, avoided, IDLE_MEMORY_SHARE)
         return not isinstance(found, Refusal)
 
-    def unused(self, addresses: Collection[str]) -> str | None:
+    def unused_address(self, addresses: Collection[str]) -> str | None:
         """Return the address of an engine that is not among some, None without one."""
         endpoints = self.beliefs.fleet.endpoints.values()
         excluded = self.beliefs.suspects.excluded(self.clock())
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -279,7 +279,7 @@
         """
         used = {p.address for w in self.watch.streams for p in w.path.parts}
         heard = self.watch.last_heard(besides=part.address)
-        unused = self.finder.unused(used | {part.address})
+        unused = self.finder.unused_address(used | {part.address})
         return [address for address in (heard, unused) if address is not None]
 
     def _take_report(self, asked: Part, found: EngineReport) -> None:
--- a/packages/relay/tests/relay/test_clocks.py
+++ b/packages/relay/tests/relay/test_clocks.py
@@ -9,21 +9,21 @@
 #: Sources of the deployed entry.
 SOURCES = ("packages/relay/src", "platform/src", "packages/core/src")
 #: Calls that read the time of day, which may jump by seconds either way.
-TIME_OF_DAY = {("time", "time"), ("time", "time_ns"), ("datetime", "now")}
+WALL_CLOCK_CALLS = {("time", "time"), ("time", "time_ns"), ("datetime", "now")}
 
 
-def readings(path: Path) -> list[str]:
+def wall_clock_reads(path: Path) -> list[str]:
     """Return where a source reads the time of day."""
     return [
         f"{path.relative_to(ROOT)}:{node.lineno}"
         for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.Attribute)
         and isinstance(node.value, ast.Name)
-        and (node.value.id, node.attr) in TIME_OF_DAY
+        and (node.value.id, node.attr) in WALL_CLOCK_CALLS
     ]
 
 
-def test_no_decision_goes_by_the_time_of_day():
+def test_sources_do_not_read_the_wall_clock():
     paths = [path for root in SOURCES for path in (ROOT / root).rglob("*.py")]
     assert paths
-    assert [found for path in paths for found in readings(path)] == []
+    assert [found for path in paths for found in wall_clock_reads(path)] == []
--- a/packages/relay/tests/relay/test_path_finder.py
+++ b/packages/relay/tests/relay/test_path_finder.py
@@ -26,7 +26,7 @@
     return PathFinder(beliefs, Random(1), lambda: 0.0)
 
 
-class Request(SimpleNamespace):
+class HashableNamespace(SimpleNamespace):
     """A request, told from others by its identity."""
 
     __hash__ = object.__hash__
@@ -36,7 +36,7 @@
     """Return what the finder needs of a request."""
     caller = SimpleNamespace(response_started=False)
     request = SimpleNamespace(prompt=1_000, answer_hint=None, most_answer=0)
-    return Request(
+    return HashableNamespace(
         service="rooms",
         caller=caller,
         avoid=set(avoid),
@@ -52,7 +52,7 @@
         finder.beliefs.loads.from_peer(name, {name: Load(1, 0, 50_000.0)}, 0.0)
 
 
-def test_a_request_with_no_more_attempts_stays_with_the_endpoints_that_had_it(
+def test_request_without_attempts_left_uses_only_endpoints_it_was_sent_to(
     finder, shape
 ):
     for allowed in ({"a"}, {"b"}):
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(("begun", "goes_on"), [(True, True), (False, False)])
-def test_a_begun_answer_is_not_lost_for_the_only_holder_that_it_had_left(
+def test_started_answer_may_use_avoided_endpoints_when_no_others_hold_the_layers(
     finder, shape, begun, goes_on
 ):
     job = job_of(avoid="cd")
@@ -73,31 +73,29 @@
     assert isinstance(finder.find(job, shape, DEMAND, besides="cd"), Refusal)
 
 
-def test_endpoints_that_were_left_are_avoided_while_others_hold_their_layers(
-    finder, shape
-):
+def test_avoided_endpoints_are_not_used_while_others_hold_their_layers(finder, shape):
     job = job_of(avoid="c")
     job.caller.response_started = True
     for _ in range(20):
         assert not finder.find(job, shape, DEMAND).uses("c")
 
 
-def limit(finder, *names):
+def name_limits(finder, *names):
     """Let endpoints name limits, without a permit at hand."""
     for name in names:
         finder.beliefs.limits.observe(name, 2.0, 0.0, 0.0)
 
 
-def test_a_request_goes_past_an_endpoint_that_is_at_its_limit(finder, shape):
-    limit(finder, "a")
+def test_request_skips_an_endpoint_at_its_limit(finder, shape):
+    name_limits(finder, "a")
     for _ in range(20):
         job = job_of()
         assert finder.find(job, shape, DEMAND).first.endpoint == "b"
     assert finder.beliefs.send_limits.sharing.wanted["a"]
 
 
-def test_a_request_that_only_limited_endpoints_could_serve_is_told_so(finder, shape):
-    limit(finder, "a", "b")
+def test_request_is_overloaded_when_every_first_endpoint_is_at_its_limit(finder, shape):
+    name_limits(finder, "a", "b")
     job = job_of()
     found = finder.find(job, shape, DEMAND)
     assert found.kind is ErrorKind.OVERLOADED
@@ -105,6 +103,6 @@
     assert job.limited
 
 
-def test_a_limited_endpoint_may_be_a_later_part_of_a_path(finder, shape):
-    limit(finder, "c", "d")
+def test_endpoint_at_its_limit_may_be_a_later_part_of_a_path(finder, shape):
+    name_limits(finder, "c", "d")
     assert finder.find(job_of(), shape, DEMAND).uses("cd")
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -67,7 +67,7 @@
                 suspects.suspect(endpoint, reason, 0.0, silent=True)
 
         finder = SimpleNamespace(
-            is_idle=lambda job, avoid: idle, unused=lambda besides: unused
+            is_idle=lambda job, avoid: idle, unused_address=lambda besides: unused
         )
         log = SimpleNamespace(belief=lambda event, **fields: events.append(event))
         return StallWatcher(
