--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -372,7 +372,7 @@
     def _on_configuration(self) -> None:
         """Apply the limits of a version that has come into force, and tell it."""
         self._tell_peers()
-        self.ingress.put_in_force(self.beliefs.table.limits)
+        self.ingress.apply_limits(self.beliefs.table.limits)
 
     def _on_lag(self, late: float, section: Section) -> None:
         """Tell that the loop stood still, and what ran meanwhile."""
@@ -397,10 +397,10 @@
         if self.readiness.draining:
             return
         # The grace time runs while a loop that is held up has not noticed the signal.
-        self.ingress.leave(self.watch.previous_look)
+        self.ingress.start_drain(self.watch.previous_look)
         self._start(self._leave())
         self._tell_peers()
-        self.ingress.tell_leaving()
+        self.ingress.log_drain_start()
 
     def _apply(self, settings: RelaySettings) -> None:
         """Put in force what may change in the life of a process."""
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -97,7 +97,7 @@
             self.server.close_idle,
         )
 
-    def put_in_force(self, limits: Limits) -> None:
+    def apply_limits(self, limits: Limits) -> None:
         """Apply the limits of a version that has come into force."""
         # A head may begin when the connection's time to stay idle is nearly over.
         seconds = limits.idle_timeout + limits.header_timeout
@@ -109,7 +109,7 @@
         self.callers.max_head_bytes = limits.header_bytes
         params.max_body_size = limits.body_bytes
 
-    def leave(self, since: float) -> None:
+    def start_drain(self, since: float) -> None:
         """Take the request to end: from now on connections are not kept.
 
         Args:
@@ -118,7 +118,7 @@
         self.readiness.start_drain(since)
         self.server.conn_params.no_keep_alive = True
 
-    def tell_leaving(self) -> None:
+    def log_drain_start(self) -> None:
         """Tell what is open and when this entry expects to have ended."""
         ends_in = self.restart_estimator.ends_in()
         self.log.belief("leaving", open=len(self.callers.open), ends_in=ends_in)
--- a/packages/relay/tests/relay/test_sigterm.py
+++ b/packages/relay/tests/relay/test_sigterm.py
@@ -27,13 +27,15 @@
 def make_application():
     """Return a function that makes what the handlers of an entry use."""
 
-    def make(ends_in=lambda: 1.0):
+    def make(log_drain_start=lambda: 1.0):
         readiness = Readiness(Beliefs(), GRACE)
         entry = SimpleNamespace(
             readiness=readiness,
             clock=lambda: NOW,
             watch=SimpleNamespace(previous_look=BEFORE),
-            ingress=SimpleNamespace(leave=readiness.start_drain, tell_leaving=ends_in),
+            ingress=SimpleNamespace(
+                start_drain=readiness.start_drain, log_drain_start=log_drain_start
+            ),
             log=LogRecorder(),
             started=[],
             told=[],
