--- a/packages/relay/tests/relay/test_staleness.py
+++ b/packages/relay/tests/relay/test_staleness.py
@@ -1,4 +1,4 @@
-"""Tests of refusals for what an old version of the configuration does not know."""
+"""Tests of refusals for routes that a stale configuration does not contain."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 from .virtual_time import play
 
-#: Age from which the configuration is stale, and an age beyond it, seconds.
+#: Age in seconds above which the configuration is stale, and an age above it.
 LIMIT = 1.2
 STALE = 3.0
 
 
 def table(version: int, *paths: str) -> RoutingTable:
-    """Return a version with routes for some paths."""
+    """Return a configuration version with routes for some paths."""
     routes = {
         path: Route(
             path, "h", path, RetrySafety.ONCE, (("s", 1.0),), 9.0, 1.0, 1.0, 0, 1, False
@@ -40,11 +40,11 @@
 
 
 class Configuration:
-    """A version with an age that a test sets.
+    """A configuration version whose age is set by a test.
 
     Attributes:
-        beliefs: Where it is in force.
-        known_at: When it was last known to be the newest, seconds.
+        beliefs: Local state in which the version is in force.
+        known_at: When it was last known to be current, seconds.
     """
 
     def __init__(self, age: float) -> None:
@@ -55,19 +55,19 @@
         return asyncio.get_running_loop().time() - self.known_at
 
     def confirm(self, newer: RoutingTable | None = None) -> None:
-        """Hear that a version is the newest, this one if no other is given."""
+        """Mark the given version as current, or the present one if none is given."""
         if newer is not None:
             self.beliefs.accept(newer)
         self.known_at = asyncio.get_running_loop().time()
 
 
 def resolve(path: str, age: float, confirmed=None) -> tuple[Job | Refusal, float]:
-    """Return what is decided of a request, and after how many seconds.
+    """Return how a request is routed, and after how many seconds.
 
     Args:
-        path: Its path.
-        age: Age of the configuration when it comes, seconds.
-        confirmed: Called with the configuration a little later, None for nothing.
+        path: Path of the request.
+        age: Age of the configuration when the request arrives, seconds.
+        confirmed: Called with the configuration 0.1 s later, None for no call.
     """
 
     async def resolved():
