--- a/packages/relay/src/lacewingcourse/relay/readiness.py
+++ b/packages/relay/src/lacewingcourse/relay/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this entry takes new connections, and which requests while it ends."""
+"""Whether this entry accepts new connections, and which requests while it drains."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
     from lacewingcourse.relay.beliefs import Beliefs
 
 
-#: Seconds of the time for ending that are kept for the end itself.
+#: Seconds at the end of the grace time that are reserved for the shutdown itself.
 SHUTDOWN_MARGIN = 0.4
 
 
 @attrs.define
 class Readiness:
-    """Whether this entry is ready.
+    """Whether this entry is ready, and the state of its drain.
 
     Attributes:
-        beliefs: What is believed of the deployment.
-        grace: Seconds in which the process must have ended once it is asked to.
-        takes_last: Tells whether a request is taken while the process ends, see
-            `shutdown.LAST_REQUESTS`.
-        leaving_since: When the request to end came, None before it.
-        closed: Whether nothing is taken any more, since the process ends at once.
+        beliefs: Local view of the deployment.
+        grace: Seconds from the shutdown request within which the process must have
+            ended.
+        accept_policy: Decides whether a request is accepted while the process drains,
+            see `shutdown.LAST_REQUESTS`.
+        drain_started_at: When the shutdown request came, None before it.
+        closed: Whether no request is accepted any more because the process is ending.
     """
 
     beliefs: Beliefs
@@ -38,18 +39,18 @@
     closed: bool = False
 
     def start_drain(self, now: float) -> None:
-        """Note the request to end."""
+        """Record the shutdown request; later ones change nothing."""
         if self.drain_started_at is None:
             self.drain_started_at = now
 
     def add_suspended_time(self, seconds: float) -> None:
-        """Count time for which the machine was suspended, which the clock does not."""
+        """Count time for which the machine was suspended and the clock stood still."""
         if self.drain_started_at is not None:
             self.drain_started_at -= seconds
 
     @property
     def draining(self) -> bool:
-        """Whether this entry is ending."""
+        """Whether this entry is draining."""
         return self.drain_started_at is not None
 
     @property
@@ -59,7 +60,7 @@
         return float("inf") if since is None else since + self.grace - SHUTDOWN_MARGIN
 
     def accepts(self, route: str, now: float, deadline: float) -> bool:
-        """Tell whether a request is served, see `answer_time` for the arguments."""
+        """Return whether a request is accepted; see `answer_time` for the arguments."""
         if not self.draining:
             return True
         if self.closed:
@@ -69,16 +70,16 @@
         )
 
     def answer_time(self, route: str, now: float, deadline: float) -> AnswerTime:
-        """Return how long the answer to a request may take while this entry ends.
+        """Return how long the answer to a request may take while this entry drains.
 
-        The balancer sends connections here for some seconds after the request to end,
-        and while all entries are restarted in turn there are times when every one of
-        them is ending.
+        The balancer sends connections here for some seconds after the shutdown request,
+        and during a rolling restart every entry may be draining at the same time.
 
         Args:
-            route: Name of its route.
+            route: Name of the request's route.
             now: Present time in seconds.
-            until: Time at which the route's time or the caller's is over.
+            deadline: Time at which the time limit of the route or of the caller
+                expires.
         """
         return AnswerTime(
             expected=self.beliefs.durations.expected(route),
@@ -88,8 +89,8 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell whether new connections should come here.
+        """Return whether the balancer should send new connections here.
 
-        Without configuration every request would be refused.
+        Without a configuration every request would be refused.
         """
         return not self.draining and self.beliefs.table is not None
--- a/packages/relay/tests/relay/test_readiness.py
+++ b/packages/relay/tests/relay/test_readiness.py
@@ -1,4 +1,4 @@
-"""Tests of readiness and of the last requests of an entry that ends."""
+"""Tests of readiness and of the requests that a draining entry accepts."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 from .routes import route_of
 
-#: Seconds in which a process must have ended.
+#: Seconds from the shutdown request within which a process must have ended.
 GRACE = 8.0
 ROOMS = route_of("rooms", RetrySafety.RESUMABLE_STREAM)
 CALLS = route_of("calls", RetrySafety.IDEMPOTENT)
-#: A time until which callers wait that is never reached.
+#: A deadline that is never reached.
 FAR = 500.0
 
 
 @pytest.fixture
 def draining() -> Readiness:
-    """An entry that was asked to end at 10, and once more at 12."""
+    """An entry that was asked to shut down at 10, and again at 12."""
     readiness = Readiness(Beliefs(), GRACE, take_expected)
     readiness.start_drain(now=10.0)
     readiness.start_drain(now=12.0)
@@ -35,7 +35,7 @@
 
 
 def accepts(readiness, route, now, deadline=FAR) -> bool:
-    """Tell whether an entry takes a request of a route."""
+    """Return whether an entry accepts a request of a route."""
     return readiness.accepts(route.name, now, deadline)
 
 
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("grace", [3.0, 8.0, 30.0])
 @pytest.mark.parametrize("length", [0.1, 1.5, 2.6])
 def test_draining_entry_accepts_requests_expected_to_end_in_time(grace, length):
-    """With 2.8 seconds whatever the grace, 47 requests were refused in vain."""
+    """A cutoff of 2.8 seconds for any grace time refused 47 requests needlessly."""
     readiness = Readiness(Beliefs(), grace, take_expected)
     for number in range(100):
         readiness.beliefs.durations.note("rooms", length * (0.5 + number / 200))
