--- a/packages/relay/src/lacewingcourse/relay/drain.py
+++ b/packages/relay/src/lacewingcourse/relay/drain.py
@@ -1,4 +1,4 @@
-"""The end of the entry: its last answers, and the ends of what has none by then."""
+"""Graceful shutdown: waits for open answers, then ends the requests that remain."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
     from lacewingcourse.relay.gateway import Gateway
     from lacewingcourse.relay.readiness import Readiness
 
-#: Seconds after the request to end for which new connections may still come: the
-#: balancer asks once a second and takes an instance out after two misses.
+#: Seconds after the shutdown request for which new connections may still arrive: the
+#: balancer probes once a second and removes an instance after two failed probes.
 BALANCER_DELAY = 3.2
-#: Seconds between two looks at what is still open.
+#: Seconds between two checks for open requests.
 POLL_INTERVAL = 0.05
-#: Seconds of those kept for the end in which what callers have sent is read and
-#: refused, and the last answers are written out.
+#: Seconds, out of those reserved for the shutdown, in which requests already sent are
+#: read and refused and the last answers are flushed.
 FLUSH_TIMEOUT = 0.1
 
 
 @attrs.define
 class Drainer:
-    """Ends the entry when callers need it no more, in time at the latest.
+    """Drains the entry: ends when no request is open, at the latest at the deadline.
 
     Attributes:
-        readiness: Until when answers may take.
-        callers: The connections of callers.
-        gateway: Ends requests that have no answer by then.
+        readiness: State and deadline of the drain.
+        callers: Connections of callers.
+        gateway: Ends requests that have no answer by the deadline.
         clock: Returns the present time in seconds.
         stop_listening: Called to refuse new connections from then on.
-        close_idle: Called to close all connections but those of some requests.
+        close_idle: Called to close all connections except those of the given requests.
     """
 
     readiness: Readiness
@@ -47,30 +47,30 @@
     )
 
     async def run(self) -> None:
-        """Wait for the callers' answers, and end what has none in time."""
+        """Wait for open answers, and end those that remain at the deadline."""
         while not self._is_drained(self.clock()):
             await asyncio.sleep(POLL_INTERVAL)
-        # With no wait since the look, nothing was taken that it did not count.
+        # There is no await after the check, so it has counted every accepted request.
         self.readiness.closed = True
         self.stop_listening()
         self._abort_open_requests()
         await self._flush()
 
     def _abort_open_requests(self) -> None:
-        """End what has no end.
+        """End every open request.
 
-        With the loop ends every task, and a caller whose task is merely dropped sees
-        its connection closed without a word.
+        When the loop ends, its tasks are dropped. The caller of a dropped task would
+        see its connection closed without an answer.
         """
         for caller in list(self.callers.open):
             self.gateway.abort(caller, self.clock())
 
     async def _flush(self) -> None:
-        """Refuse what callers have sent, and wait for answers to leave this process."""
+        """Refuse requests that were already sent, and flush the last answers."""
         until = self.clock() + FLUSH_TIMEOUT
         while True:
-            # A timer wakes this up once all that was read has been told, and before
-            # more is read: no connection is closed on which a request was read.
+            # The timer fires after all data read so far has been processed and before
+            # more is read, so no connection with a received request is closed.
             await asyncio.sleep(POLL_INTERVAL)
             self._abort_open_requests()
             self.close_idle(self.callers.open)
@@ -78,7 +78,7 @@
                 return
 
     def _is_drained(self, now: float) -> bool:
-        """Tell whether nothing is waited for any more."""
+        """Return whether there is nothing left to wait for."""
         if now >= self.readiness.drain_deadline:
             return True
         waited = now - self.readiness.drain_started_at
--- a/packages/relay/tests/relay/test_drain.py
+++ b/packages/relay/tests/relay/test_drain.py
@@ -1,4 +1,4 @@
-"""Tests of what callers get whose requests are open when the entry must end."""
+"""Tests of the answers to requests that are open when the entry must end."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 from .test_caller import REQUEST, make_gateway, read_answer, run, serving_connections
 
-#: Seconds in which the entry must have ended.
+#: Seconds from the shutdown request within which the entry must have ended.
 GRACE = 1.0
-#: Seconds after which another entry takes connections.
+#: Seconds after which another entry accepts connections.
 OTHER_ENTRY_READY_IN = 0.3
 
 
 class EndlessExchange:
-    """A request that an endpoint works on without end."""
+    """An exchange with an endpoint that never answers."""
 
     def __init__(self) -> None:
         self.abandoned = False
 
     def abandon(self) -> None:
-        """Stop the endpoint's work."""
+        """Record that the exchange was abandoned."""
         self.abandoned = True
 
 
 class LogRecorder:
-    """The log of decisions: the names of its lines."""
+    """Records the names of the decision log's methods that are called."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -44,7 +44,7 @@
 
 
 def refusal(refused, request):
-    """Return an answer that shows the time after which to come back."""
+    """Return an answer with a `Retry-After` header."""
     headers = HTTPHeaders()
     if refused.retry_after is not None:
         headers["Retry-After"] = str(refused.retry_after)
@@ -52,7 +52,7 @@
 
 
 def entry_with(forward, log) -> Gateway:
-    """Return a gateway that forwards streams in some way."""
+    """Return a gateway with a given forwarder of streams."""
     found = make_gateway(forward, [])
     found.log = log
     found.codec.refusal = refusal
@@ -62,7 +62,7 @@
 
 
 def failing_once(work, log):
-    """Return a function that has a defect the first time, and then does its work."""
+    """Return a function that raises on its first call and then calls `work`."""
     failed = []
 
     def fail_then_work(*args):
@@ -76,7 +76,7 @@
 
 
 async def drain(entry, connections) -> None:
-    """Ask an entry to end and wait until it has."""
+    """Ask an entry to shut down and wait until it has drained."""
     readiness = Readiness(Beliefs(), GRACE)
     readiness.start_drain(entry.clock())
     await Drainer(readiness, connections, entry, entry.clock).run()
@@ -266,7 +266,7 @@
         entry = entry_with(None, log)
         entry.beliefs.table = None
         entry.readiness = Readiness(Beliefs(), GRACE)
-        # The time for which it is held at the most is never over.
+        # The clock stands still, so the wait for the configuration never times out.
         entry.clock = lambda: 0.0
         async with serving_connections(entry.serve) as (address, _):
             reader, writer = await asyncio.open_connection(*address)
@@ -284,7 +284,7 @@
 
 @pytest.mark.parametrize("size", [4, 32 * 1024 * 1024])
 def test_pipelined_request_is_open_before_the_previous_one_closes(size):
-    """A connection on which nothing is open is closed by an entry that ends."""
+    """A draining entry closes connections that have no open request."""
     served = []
 
     async def serve(exchange):
--- a/packages/relay/tests/relay/test_drain_races.py
+++ b/packages/relay/tests/relay/test_drain_races.py
@@ -1,4 +1,4 @@
-"""Tests of what callers get that send between the last look and the entry's end."""
+"""Tests of requests sent between the last drain check and the entry's end."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 from .test_caller import REQUEST, run
 from .test_drain import LogRecorder, entry_with
 
-#: Seconds after which an entry ends of which nothing is open.
+#: Seconds after which an entry without open requests ends.
 DRAIN_AFTER = 0.3
-#: Seconds in which the entry must have ended: less than that, and much more.
+#: Grace times in seconds: with the first, the drain deadline comes before
+#: `DRAIN_AFTER`.
 GRACE = (0.6, 8.0)
-#: Turns of the loop that pass between the end of the departure and that of the process.
+#: Iterations of the loop between the end of the drain and the end of the process.
 LOOP_ITERATIONS_AFTER_DRAIN = 10
 PARTIAL_BODY = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf"
 
 
 class DrainerWithHook(Drainer):
-    """A departure at whose last look something happens that it cannot see."""
+    """A drainer that calls a hook right after its last check for open requests."""
 
     def _is_drained(self, now: float) -> bool:
         is_drained = super()._is_drained(now)
@@ -41,11 +42,11 @@
 
 @attrs.define(slots=False)
 class Entry:
-    """An entry that ends while callers send.
+    """An entry that drains while callers send requests.
 
     Attributes:
-        grace: Seconds in which it must have ended.
-        passed_on: Targets of the requests that it passed on.
+        grace: Seconds within which it must have ended.
+        forwarded: Targets of the requests that it forwarded.
     """
 
     grace: float
@@ -69,11 +70,11 @@
         job.caller.answer(200, HTTPHeaders(), b"done")
 
     def connect(self) -> socket.socket:
-        """Return a connection of a caller, which the entry may not know of yet."""
+        """Return a connection of a caller, perhaps not yet accepted by the entry."""
         return socket.create_connection(self.address)
 
     async def connect_idle(self) -> socket.socket:
-        """Return a connection of a caller that the entry waits on."""
+        """Return a connection of a caller that the entry has accepted."""
         made = self.connect()
         while not self.server.connections:
             await asyncio.sleep(0)
@@ -81,7 +82,7 @@
         return made
 
     async def end(self, hook) -> None:
-        """End, and let something happen at the last look."""
+        """Drain the entry, and call a hook at its last check."""
         self.gateway.readiness.start_drain(self.clock())
         drainer = DrainerWithHook(
             self.gateway.readiness,
@@ -99,7 +100,7 @@
 
 @pytest.fixture(params=GRACE)
 def make_entry(request, monkeypatch):
-    """Return what makes an entry that ends soon, in want of time or of requests."""
+    """Return a function that makes an entry that drains soon, idle or at its limit."""
     monkeypatch.setattr(drain, "BALANCER_DELAY", DRAIN_AFTER)
     return lambda: Entry(request.param)
 
@@ -162,7 +163,7 @@
 
 @pytest.mark.parametrize("begun", [b"", b"POST / HTTP/1.1\r\nHost:"])
 def test_drained_entry_closes_idle_connections(make_entry, begun):
-    """A request that comes now is one that its caller may send elsewhere."""
+    """A caller whose request gets no answer here may send it to another entry."""
 
     async def test():
         entry = make_entry()
@@ -176,7 +177,7 @@
 
 
 def test_every_request_read_before_the_end_is_answered(make_entry):
-    """Callers that go on sending get a whole answer for what was read, or none."""
+    """Callers that keep sending get a whole answer to each request read, or none."""
 
     async def test():
         entry = make_entry()
