--- a/packages/relay/src/lacewingcourse/relay/restart_estimate.py
+++ b/packages/relay/src/lacewingcourse/relay/restart_estimate.py
@@ -1,4 +1,4 @@
-"""When entries that are ending are expected to have ended, and to be back."""
+"""Estimates when a draining entry ends and when the first entry accepts connections."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     from lacewingcourse.relay.job import Job
     from lacewingcourse.relay.readiness import Readiness
 
-#: Rest of an answer of which nothing is known: as long as there is time.
+#: Remaining time of an answer of unknown length: as long as the deadline allows.
 UNKNOWN_REMAINING = float("inf")
 
 
-#: What a caller waits for while an entry serves.
+#: Value of `waits_for` while the balancer sends callers to another entry.
 ANOTHER_ENTRY = "another entry"
 
 
 @attrs.define
 class RestartEstimator:
-    """Expects the end of this entry, and the return of the first.
+    """Estimates the end of this entry, and when the first entry is back.
 
     Attributes:
-        readiness: Whether this entry is ending, and until when at the latest.
-        callers: The connections of callers.
-        gateway: What is done for their requests.
-        book: The other entries.
+        readiness: Whether this entry drains, and its deadline.
+        callers: Connections of callers.
+        gateway: Jobs of their requests.
+        book: Known peers.
         clock: Returns the present time in seconds.
     """
 
@@ -45,28 +45,28 @@
     clock: Callable[[], float]
 
     def ends_in(self) -> float | None:
-        """Return the seconds until this entry has ended, None if it is not ending."""
+        """Return the seconds until this entry has ended, None if it does not drain."""
         now = self.clock()
         end = self._expected_end(now)
         return None if end is None else round(max(0.0, end - now), 3)
 
     def ready_in(self) -> float:
-        """Return the seconds until an entry is expected to take connections."""
+        """Return the seconds until an entry is expected to accept connections."""
         now = self.clock()
         grace = self.readiness.grace
         return self.book.ready_in(grace, now, self._expected_end(now))
 
     def waits_for(self) -> str:
-        """Return what those seconds rest on, for a log line."""
+        """Return which entry `ready_in` is based on, for a log line."""
         now = self.clock()
         grace = self.readiness.grace
         first = self.book.first_back(grace, now, self._expected_end(now))
         return ANOTHER_ENTRY if first is None else first.describe(now)
 
     def _expected_end(self, now: float) -> float | None:
-        """Return when this entry is expected to have ended, None if it is not ending.
+        """Return when this entry is expected to have ended, None if it does not drain.
 
-        It never ends while the balancer may still send callers here.
+        It does not end while the balancer may still send callers here.
         """
         if not self.readiness.draining:
             return None
@@ -75,18 +75,18 @@
         return expected_end(earliest, self.readiness.drain_deadline, remaining, now)
 
     def _remaining(self, caller: CallerExchange, now: float) -> float:
-        """Return the seconds that an answer is expected to take yet."""
+        """Return the seconds that a request is expected to stay open."""
         if caller.response_ended or caller.disconnected:
             return 0.0
         job = self.gateway.jobs.get(caller)
         if job is None:
-            # A request that is whole but not routed is being decided on.
+            # A request that was received whole but has no job is being routed.
             is_received = caller in self.gateway.serving
             return 0.0 if is_received else UNKNOWN_REMAINING
         return min(self._expected_remaining(job, now), job.deadline - now)
 
     def _expected_remaining(self, job: Job, now: float) -> float:
-        """Return the seconds that what is done for a request takes yet."""
+        """Return the expected seconds until a job ends, ignoring its deadline."""
         beliefs = self.gateway.beliefs
         shape = beliefs.shape(job.service)
         max_answer = job.request.most_answer
--- a/packages/relay/tests/relay/rolling_restart.py
+++ b/packages/relay/tests/relay/rolling_restart.py
@@ -1,4 +1,4 @@
-"""Entries that are asked to end one after the other, and start again."""
+"""A simulated rolling restart: entries drain one after the other and start again."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 from .routes import route_of
 from .stream_play import CallerStub, Decisions
 
-#: Seconds in which an entry must have ended.
+#: Seconds from the shutdown request within which an entry must have ended.
 GRACE = 8.0
-#: Seconds between the requests to end of two entries.
+#: Seconds between the shutdown requests of two entries.
 STAGGER = 0.38
 #: Tokens in one event of an answer, and seconds between two events.
 EVENT_TOKENS = 2
@@ -41,16 +41,16 @@
 MESSAGE_DELAY = 0.005
 #: Seconds between two callers of an entry.
 CALL_PERIOD = 0.07
-#: Seconds between the end of an entry and its first connections, at the least.
+#: Least seconds between the end of an entry and its first connections.
 MIN_RESTART_TIME = 0.9
 
 
-#: Draws how many events an answer has.
+#: Draws the number of events of an answer.
 DrawEventCount = Callable[[Random], int]
 
 
 class Caller(CallerStub):
-    """A caller whose answer has a number of events."""
+    """A caller whose answer has a given number of events."""
 
     def __init__(self, events: int, now: float) -> None:
         super().__init__()
@@ -66,11 +66,11 @@
 
 @attrs.frozen
 class RefusedCaller:
-    """A caller that was refused while entries were ending.
+    """A caller that was refused while entries were draining.
 
     Attributes:
-        at: When, seconds.
-        comes_at: When it was told to come back.
+        at: When it was refused, seconds.
+        returns_at: When its `Retry-After` expires, seconds.
     """
 
     at: float
@@ -82,9 +82,9 @@
     """One process of an entry.
 
     Attributes:
-        gateway: Takes requests.
-        departure: Ends it.
-        gossip: Speaks with others.
+        gateway: Serves requests.
+        drainer: Drains it.
+        gossip: Exchanges state with other entries.
     """
 
     gateway: Gateway
@@ -92,7 +92,7 @@
     gossip: Gossip
 
     def call(self, events: int) -> Caller:
-        """Send it a request whose answer has a number of events."""
+        """Send a request whose answer has a given number of events."""
         caller = Caller(events, self.gateway.clock())
         caller.task = asyncio.ensure_future(self.gateway.serve(caller))
         callers = self.drainer.callers.open
@@ -102,7 +102,7 @@
 
 
 async def write_events(job, shape) -> None:
-    """Write an answer as an engine does that is well."""
+    """Write an answer as a healthy engine does."""
     job.caller.begin(200, HTTPHeaders())
     clock = asyncio.get_running_loop().time
     for _ in range(job.caller.events):
@@ -130,10 +130,10 @@
     """A deployment whose entries are all restarted within some seconds.
 
     Attributes:
-        processes: The processes that run, by name of the entry.
-        draw_event_count: Draws how many events an answer has.
-        back: When each entry took connections again, by name.
-        refused: Callers that were refused while no entry was back.
+        processes: The running processes, by name of the entry.
+        draw_event_count: Draws the number of events of an answer.
+        ready_at: When each entry accepted connections again, by name.
+        refused: Callers that were refused before any entry was back.
     """
 
     def __init__(
@@ -153,7 +153,7 @@
         self.refused: list[RefusedCaller] = []
 
     def start(self, name: str) -> None:
-        """Start a process of an entry, and let it speak."""
+        """Start a process of an entry, and its gossip."""
         beliefs = Beliefs()
         route = route_of("rooms", RetrySafety.RESUMABLE_STREAM)
         beliefs.table = SimpleNamespace(
@@ -217,7 +217,7 @@
         return Process(gateway, drainer, gossip)
 
     async def _run_gossip(self, name: str, process: Process) -> None:
-        """Speak with the other entries as long as a process runs."""
+        """Exchange state with the other entries while the process runs."""
         await asyncio.sleep(self.rng.uniform(0.0, PERIOD))
         while self.processes.get(name) is process:
             for peer in process.gossip.book.partners(self.clock()):
@@ -225,7 +225,7 @@
             await asyncio.sleep(PERIOD)
 
     async def _exchange(self, process: Process, other_name: str) -> None:
-        """Let a process speak to another one, and that one answer."""
+        """Send the state of a process to another one, and process the reply."""
         news = encode(process.gossip.news_for(other_name, ""))
         await asyncio.sleep(MESSAGE_DELAY)
         other = self.processes.get(other_name)
@@ -237,7 +237,7 @@
         process.gossip.take(decode(answer, PeerNews))
 
     async def restart(self, name: str) -> None:
-        """Ask an entry to end, and start it again."""
+        """Ask an entry to shut down, and start it again."""
         process = self.processes[name]
         process.gateway.readiness.start_drain(self.clock())
         calls = asyncio.ensure_future(self._send_callers(process))
@@ -251,7 +251,7 @@
         self.ready_at[name] = self.clock()
 
     async def _send_callers(self, process: Process) -> None:
-        """Send callers to a process, and keep those that it refuses."""
+        """Send callers to a process, and record those that it refuses."""
         while True:
             await asyncio.sleep(CALL_PERIOD)
             caller = process.call(self.draw_event_count(self.rng))
--- a/packages/relay/tests/relay/test_restart_estimate.py
+++ b/packages/relay/tests/relay/test_restart_estimate.py
@@ -1,4 +1,4 @@
-"""Tests of when an entry expects to have ended, and what it tells of it."""
+"""Tests of when an entry expects to have ended, and how it reports that to peers."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from .routes import route_of
 from .virtual_time import play
 
-#: When the entry was asked to end, and the time of the tests.
+#: When the entry was asked to shut down, and the present time.
 DRAIN_STARTED_AT, NOW = 10.0, 12.0
-#: When it must have ended.
+#: When the entry must have ended.
 DRAIN_DEADLINE = DRAIN_STARTED_AT + GRACE - SHUTDOWN_MARGIN
 
 
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def make_estimator(shape):
-    """Return a function that makes an entry with one open answer."""
+    """Return a function that makes the estimator of an entry with one open answer."""
 
     def make(
         most_answer=0, events=0, received=NOW, deadline=500.0, routed=True, **attributes
@@ -134,7 +134,7 @@
 
 
 def expected_ends(rolling_restart: RollingRestart, name: str) -> list[float]:
-    """Return when others expect an entry to end, the soonest and the latest."""
+    """Return the earliest and the latest end that the peers of an entry expect."""
     books = [each.gossip.book for each in rolling_restart.processes.values()]
     ends = [book.peers[name].ends_at for book in books if book.name != name]
     return [min(ends), max(ends)]
--- a/packages/relay/tests/relay/test_rolling_restart.py
+++ b/packages/relay/tests/relay/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""Tests of when callers come back that met entries which were all ending."""
+"""Tests of when callers return that were refused while every entry drained."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from .rolling_restart import MAX_EVENTS, DrawEventCount, RollingRestart
 from .virtual_time import play
 
-#: Seconds after the first entry is back in which refused callers come back.
+#: Seconds after the first entry is ready within which refused callers return.
 MAX_RETURN_DELAY = 1.5
-#: How long answers are: as long as callers allow, any length, usual ones with a few
-#: that are as long as allowed.
+#: How many events answers have: as many as callers allow, any number, or a usual number
+#: with a few answers that are as long as allowed.
 EVENT_COUNTS: dict[str, DrawEventCount] = {
     "longest": lambda rng: MAX_EVENTS,
     "any": lambda rng: rng.randint(1, MAX_EVENTS),
@@ -19,7 +19,7 @@
 
 
 def restarted(shape, count: int, seed: int, lengths: str) -> RollingRestart:
-    """Return a deployment all of whose entries were restarted."""
+    """Return a deployment after a rolling restart of all its entries."""
 
     async def test() -> RollingRestart:
         rolling_restart = RollingRestart(shape, count, seed, EVENT_COUNTS[lengths])
@@ -35,7 +35,7 @@
 def test_refused_callers_do_not_return_before_an_entry_is_ready(
     shape, count, seed, lengths
 ):
-    """They came back to an entry that was still ending, and had no further try."""
+    """Callers returned to a draining entry, and had no further retry."""
     found = restarted(shape, count, seed, lengths)
     first = min(found.ready_at.values())
     assert found.refused
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("count", [2, 4])
 @pytest.mark.parametrize("seed", range(4))
 def test_refused_callers_return_soon_after_the_first_entry_is_ready(shape, count, seed):
-    """They waited for the whole grace time of entries that ended sooner."""
+    """Callers waited for the whole grace time of entries that ended sooner."""
     found = restarted(shape, count, seed, "longest")
     first = min(found.ready_at.values())
     assert found.refused
