--- a/packages/relay/src/lacewingcourse/relay/caller_server.py
+++ b/packages/relay/src/lacewingcourse/relay/caller_server.py
@@ -1,4 +1,4 @@
-"""The server that callers connect to, and how it stops reading from them."""
+"""The HTTP server for callers, and how it stops accepting requests."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class CallerServer(HTTPServer):
-    """The server that callers connect to.
+    """The HTTP server that callers connect to.
 
     Attributes:
-        listening: Sockets on which new connections come.
-        streams: Connections that have not been closed.
+        listen_sockets: Sockets that accept connections.
+        connections: Open connections.
     """
 
     def initialize(self, *args, **parameters) -> None:
-        """Make the server; the library calls this in place of `__init__`."""
+        """Initialize the server; tornado calls this in place of `__init__`."""
         super().initialize(*args, **parameters)
         self.listen_sockets: list[socket.socket] = []
         self.connections: set[IOStream] = set()
 
     def add_sockets(self, sockets: Iterable[socket.socket]) -> None:
-        """Accept connections on sockets that listen."""
+        """Accept connections on listening sockets."""
         listening = list(sockets)
         self.listen_sockets += listening
         super().add_sockets(listening)
@@ -42,14 +42,14 @@
         super().handle_stream(stream, address)
 
     def on_close(self, server_conn: HTTP1ServerConnection) -> None:
-        """Forget a connection that has been closed."""
+        """Remove a closed connection."""
         self.connections.discard(server_conn.stream)
         super().on_close(server_conn)
 
     def stop_listening(self) -> None:
-        """Refuse new connections; those that wait to be accepted are read from.
+        """Refuse new connections, after accepting those in the backlog.
 
-        The kernel resets connections that wait behind a socket which is closed.
+        The kernel resets the connections in the backlog of a socket that is closed.
         """
         for listen_socket in self.listen_sockets:
             self._accept_pending(listen_socket)
@@ -62,15 +62,15 @@
             except ConnectionAbortedError:
                 continue
             except OSError:
-                # None waits, or no descriptor is left for it.
+                # The backlog is empty, or no file descriptor is left.
                 return
             self.handle_stream(IOStream(connection), address)
 
     def close_idle(self, open_requests: Collection[CallerExchange]) -> None:
-        """Close all connections but those of some requests.
+        """Close all connections except those of some requests.
 
         Args:
-            unended: Requests whose answers have not left this process.
+            open_requests: Requests whose answers have not been flushed.
         """
         busy = {caller.connection.stream for caller in open_requests}
         for stream in self.connections.difference(busy):
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -1,4 +1,4 @@
-"""The callers' side of the entry, from their connections to their last answers."""
+"""The components that serve callers, from their connections to graceful shutdown."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 
 
 class Ingress:
-    """The callers' side of the entry.
+    """The components that serve callers.
 
     Attributes:
         gateway: Routes, forwards and answers requests.
-        callers: The connections of callers.
-        front: The server that they connect to.
-        endings: Expects the end of this entry, and the return of the first.
-        departure: Ends the entry when callers need it no more.
+        callers: Connections of callers.
+        server: HTTP server that callers connect to.
+        restart_estimator: Estimates the end of this entry, and when the first one is
+            back.
+        drainer: Ends the entry once no request is open.
     """
 
     def __init__(
@@ -49,19 +50,19 @@
         rng: Random,
         guard: StalenessGuard,
     ) -> None:
-        """Make the callers' side.
+        """Initialize the components.
 
         Args:
-            beliefs: What is believed of the deployment.
-            codec: How requests look on the platform.
+            beliefs: Local view of the deployment.
+            codec: Decodes and encodes requests and answers of the platform.
             calls: Forwards calls to plain services.
             streams: Forwards streams.
-            readiness: Whether this entry is ending.
-            book: The other entries.
-            log: Log of decisions.
+            readiness: State of this entry's drain.
+            book: Known peers.
+            log: Decision log.
             clock: Returns the present time in seconds.
-            rng: Source of draws.
-            guard: Tells whether refusals for unknown routes and keys can be trusted.
+            rng: Source of random numbers.
+            guard: Decides whether refusals for unknown routes and keys can be trusted.
         """
         self.log = log
         self.clock = clock
@@ -86,7 +87,7 @@
             readiness, self.callers, self.gateway, book, clock
         )
         self.server = CallerServer(self.callers, max_header_size=MAX_HEAD_BYTES)
-        # Idle connections are closed by `IdleWatch`.
+        # Idle connections are closed by `IdleTimer`.
         self.server.conn_params.header_timeout = None
         self.drainer = Drainer(
             readiness,
@@ -98,27 +99,27 @@
         )
 
     def apply_limits(self, limits: Limits) -> None:
-        """Apply the limits of a version that has come into force."""
-        # A head may begin when the connection's time to stay idle is nearly over.
+        """Apply the limits of a configuration that has come into force."""
+        # A head may start to arrive just before the idle timeout expires.
         seconds = limits.idle_timeout + limits.header_timeout
         self.callers.idle.update(seconds, self.clock())
         params = self.server.conn_params
-        # A connection takes this when it begins to wait, so it leaves room for a later
-        # version; the limit in force is looked at once a head has come.
+        # A connection reads this limit when it starts to wait for a head, so it leaves
+        # room for a later version; the limit in force is checked once a head arrived.
         params.max_header_size = max(MAX_HEAD_BYTES, limits.header_bytes)
         self.callers.max_head_bytes = limits.header_bytes
         params.max_body_size = limits.body_bytes
 
     def start_drain(self, since: float) -> None:
-        """Take the request to end: from now on connections are not kept.
+        """Start the drain: from now on connections are not kept alive.
 
         Args:
-            since: When the grace time began at the latest, seconds.
+            since: Time from which the grace time is counted, seconds.
         """
         self.readiness.start_drain(since)
         self.server.conn_params.no_keep_alive = True
 
     def log_drain_start(self) -> None:
-        """Tell what is open and when this entry expects to have ended."""
+        """Log the number of open requests and when this entry expects to have ended."""
         ends_in = self.restart_estimator.ends_in()
         self.log.belief("leaving", open=len(self.callers.open), ends_in=ends_in)
