--- a/packages/relay/src/lacewingcourse/relay/idle.py
+++ b/packages/relay/src/lacewingcourse/relay/idle.py
@@ -1,4 +1,4 @@
-"""How long connections of callers may stay idle, and the end of those that do."""
+"""Idle timeout of callers' connections."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
     from tornado.http1connection import HTTP1Connection
 
-#: Seconds beyond the callers' idle time for which their connections are kept.
+#: Seconds for which connections are kept beyond the idle time granted to callers.
 IDLE_MARGIN = 2.0
-#: Seconds for which connections of callers may stay idle before it is configured.
+#: Idle timeout in seconds before the first configuration is in force.
 DEFAULT_IDLE_TIMEOUT = 60.0
-#: Seconds for which callers may go on by a version that was replaced. Nothing tells
-#: which version one goes by.
+#: Seconds for which callers may still use the timeout of a replaced version. Nothing
+#: tells which version a caller uses.
 MAX_VERSION_LAG = 60.0
 
 
 @attrs.frozen
 class ReplacedTimeout:
-    """The idle time of a version that was replaced.
+    """The idle timeout of a replaced version.
 
     Attributes:
         seconds: Seconds for which a connection was allowed to stay idle.
-        counts_until: Time until which connections may stay open by it, seconds.
+        valid_until: Time until which connections may stay open under it, seconds.
     """
 
     seconds: float
@@ -36,24 +36,25 @@
 
 @attrs.define
 class IdleTimeout:
-    """How long connections of callers may stay idle.
+    """The idle timeout of callers' connections.
 
-    Callers reuse a connection as long as the version that they know allows, so a
-    shorter time closes none that may still be used by an older version.
+    Callers reuse a connection for as long as the version that they know allows. A
+    shorter timeout must therefore not close connections that callers of an older
+    version may still use.
 
     Attributes:
-        told: Seconds that the version in force allows, None before the first one.
-        replaced: Longer times of versions that some callers may still go by.
+        current: Seconds that the version in force allows, None before the first one.
+        replaced: Longer timeouts of versions that some callers may still use.
     """
 
     current: float | None = None
     replaced: list[ReplacedTimeout] = attrs.field(factory=list)
 
     def update(self, seconds: float, now: float) -> None:
-        """Take the time that a new version allows.
+        """Apply the timeout of a new version.
 
         Args:
-            seconds: That time.
+            seconds: Its timeout.
             now: Present time in seconds.
         """
         kept = [each for each in self.replaced if now < each.valid_until]
@@ -72,11 +73,11 @@
 
 
 class IdleTimer:
-    """Closes a connection on which the head of a request does not come in time.
+    """Closes a connection if the head of a request does not arrive in time.
 
-    The server of the library takes the time when a connection begins to wait and keeps
-    to it, so a version with a longer one came too late for those that waited already.
-    Here the time in force is looked at again before a connection is closed.
+    Tornado reads the timeout when a connection becomes idle and keeps it, so a longer
+    timeout of a new version would not reach connections that are already idle. This
+    timer looks up the timeout in force before it closes a connection.
     """
 
     def __init__(
@@ -90,16 +91,16 @@
         self._check()
 
     def stop(self) -> None:
-        """Keep the connection, since a head has come."""
+        """Cancel the timer because a head has arrived."""
         self._timer.cancel()
 
     def _check(self) -> None:
-        """Close the connection if its time is over, else look again when it will be."""
+        """Close the connection if its timeout has expired, else check again then."""
         now = self._clock()
         left = self._since + self._idle.effective(now) - now
         loop = asyncio.get_running_loop()
         if left > 0:
             self._timer = loop.call_later(left, self._check)
             return
-        # A head that was read in this turn of the loop is told of in the next one.
+        # A head read in this iteration of the loop is delivered in the next one.
         self._timer = loop.call_soon(self._connection.close)
--- a/packages/relay/tests/relay/test_idle.py
+++ b/packages/relay/tests/relay/test_idle.py
@@ -1,4 +1,4 @@
-"""Tests of how long connections of callers may stay idle."""
+"""Tests of the idle timeout of callers' connections."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 from .test_caller import REQUEST, echo, read_answer, run, serving_connections
 
-#: Seconds that the tests' connections may stay idle, with the margin.
+#: Idle timeout of the tests' connections in seconds, with the margin.
 SHORT = 0.2
 
 
 def make_idle_timeout(*versions: tuple[float, float]) -> IdleTimeout:
-    """Return the idle time after versions, each with when it came and what it told."""
+    """Return the timeout after some versions, given as pairs of time and timeout."""
     idle = IdleTimeout()
     for now, seconds in versions:
         idle.update(seconds, now)
@@ -59,7 +59,7 @@
 
 
 async def idle_connection(address, connections):
-    """Return a connection that was used once and waits."""
+    """Return a connection that was used once and is idle."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(REQUEST % 0)
     await read_answer(reader)
