--- a/packages/relay/src/lacewingcourse/relay/caller.py
+++ b/packages/relay/src/lacewingcourse/relay/caller.py
@@ -1,4 +1,4 @@
-"""The connection of a caller: reading its request and writing its answer."""
+"""Connections of callers: reads their requests and writes the answers."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
     from tornado.httputil import RequestStartLine
 
 
-#: Bytes of a head that are read before a version tells the limit, and beside a smaller
-#: one.
+#: Bytes of a head that tornado reads before a configuration sets the limit, or if the
+#: configured limit is smaller.
 MAX_HEAD_BYTES = 64 * 1024
-#: Status of a request whose head is longer than the version in force allows.
+#: Status of a request whose head exceeds the configured limit.
 HEADERS_TOO_LARGE = 431
-#: Turns of the loop after the last byte of an answer by which a connection has read the
-#: head that its caller sent ahead.
+#: Iterations of the loop, after the last byte of an answer, within which a connection
+#: has read the head of a pipelined request.
 NEXT_HEAD_LOOP_ITERATIONS = 4
-#: Bytes between and around the name and the value of a header.
+#: Bytes that a header takes besides its name and value.
 HEADER_SEPARATOR_BYTES = len(": \r\n")
 
 
@@ -43,13 +43,14 @@
         method: HTTP method.
         target: Path with query.
         headers: Headers of the request.
-        body: Body as far as it arrived.
-        arrived_at: When the head had arrived, seconds.
-        gone: Whether the caller has closed the connection.
-        begun: Whether the head of the answer was written.
-        ended: Whether the answer was ended, whole or not.
-        whole: Whether it was ended as a whole one.
-        on_gone: Called when the caller closes before the answer is whole.
+        body: Body as far as it was received.
+        arrived_at: When the head was received, seconds.
+        disconnected: Whether the caller has closed the connection.
+        response_started: Whether the head of the answer was written.
+        response_ended: Whether the answer has ended, complete or not.
+        response_complete: Whether it ended complete.
+        on_disconnect: Called when the caller closes the connection before the answer is
+            complete.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Take the head of the request, from which on its caller waits for an end."""
+        """Process the head; from here on the request counts as open."""
         self._idle_timer.stop()
         self._open_requests.add(self)
         self._apply_body_limit()
@@ -97,24 +98,25 @@
         self.headers = headers
 
     def _apply_body_limit(self) -> None:
-        """Hold the body to the version in force.
+        """Apply the body limit of the configuration in force.
 
-        The connection took the limit when it began to wait for this request, since
-        when another version may have come.
+        Tornado reads the limit when the connection starts to wait for a request, and
+        another version may have come into force since.
         """
         limit = self.connection.params.max_body_size
         if limit is not None:
             self.connection.set_max_body_size(limit)
 
     def data_received(self, chunk: bytes) -> None:
-        """Take bytes of the body."""
+        """Append a chunk of the body."""
         self.body += chunk
 
     def finish(self) -> None:
-        """Serve the request, which is whole now.
+        """Serve the request, which has been received completely.
 
-        A request that was sent ahead is read from the memory of a connection also when
-        that has been closed. Its caller takes it as not read and may ask elsewhere.
+        Tornado reads a pipelined request from its buffer even if the connection has
+        been closed. Its caller assumes that it was not read and may send it elsewhere,
+        so it is not served.
         """
         if self.connection.stream.closed():
             self.on_connection_close()
@@ -128,7 +130,7 @@
         self._task.add_done_callback(self._on_served)
 
     def _head_bytes(self) -> int:
-        """Return about how many bytes the head has."""
+        """Return the approximate size of the head in bytes."""
         fields = self.headers.get_all()
         sizes = (
             len(name) + len(value) + HEADER_SEPARATOR_BYTES for name, value in fields
@@ -136,12 +138,12 @@
         return len(self.method) + len(self.target) + sum(sizes)
 
     def cancel(self) -> None:
-        """Stop serving the request; what serves it writes nothing any more."""
+        """Cancel the task that serves the request, so that it writes nothing more."""
         if self._task is not None:
             self._task.cancel()
 
     def on_connection_close(self) -> None:
-        """Take the early end of the request; nothing was begun for it."""
+        """Handle a disconnect before the request was received completely."""
         self.disconnected = True
         self._open_requests.discard(self)
 
@@ -157,27 +159,27 @@
         self._ignore_write_error(self.connection.write_headers(line, headers, first))
 
     def _suppress_keep_alive(self) -> None:
-        """Keep tornado from promising the connection to a caller of HTTP/1.0.
+        """Prevent tornado from sending `Connection: Keep-Alive` to an HTTP/1.0 caller.
 
-        It does so where the caller asked for it, in place of what is told here.
+        Tornado replaces the header set here with that one if the request asked for it.
         """
         if self.headers.get("Connection", "").lower() == "keep-alive":
             del self.headers["Connection"]
 
     def _is_delimited_by_close(self, headers: HTTPHeaders) -> bool:
-        """Tell whether only the end of the connection can end the answer.
+        """Return whether the answer can only be ended by closing the connection.
 
-        A caller that speaks HTTP/1.0 knows no chunks.
+        HTTP/1.0 has no chunked encoding.
         """
         return self._version == "HTTP/1.0" and "Content-Length" not in headers
 
     def write(self, data: bytes) -> None:
-        """Write bytes of the answer's body; none behind its end."""
+        """Write bytes of the answer's body; does nothing after its end."""
         if data and not self.disconnected and not self.response_ended:
             self._ignore_write_error(self.connection.write(data))
 
     def end(self) -> None:
-        """End the answer as a whole one."""
+        """End the answer as complete."""
         if self.response_ended:
             return
         self.response_ended = True
@@ -190,16 +192,16 @@
             self._when_flushed(self.connection.close)
 
     def abort(self) -> None:
-        """End the answer so that it cannot look whole.
+        """End the answer so that the caller can detect that it is incomplete.
 
-        It is closed behind what was passed on: a caller that resumes it asks for what
-        follows the last event that it got.
+        Everything written so far is sent before the connection closes: a caller that
+        resumes the answer asks for what follows the last event that it received.
         """
         self.response_ended = True
         self._when_flushed(self.connection.close)
 
     def answer(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
-        """Write a whole answer with a known length."""
+        """Write a complete answer with a known length."""
         if self.disconnected or self.response_ended:
             return
         headers["Content-Length"] = str(len(body))
@@ -208,27 +210,27 @@
         self.end()
 
     def _when_flushed(self, callback: Callable[[], None]) -> None:
-        """Do something once all that was written has left this process."""
+        """Run a callback once everything written has left this process."""
         stream = self.connection.stream
         if stream.closed() or not stream.writing():
             callback()
             return
-        # Nothing is written by it, but it is done only when all before it has been.
+        # An empty write completes only after all earlier writes.
         pending = stream.write(b"")
         pending.add_done_callback(_consume_exception)
         pending.add_done_callback(lambda future: callback())
 
     def _on_served(self, task: asyncio.Task) -> None:
-        """Count the request as open until its answer has left this process.
+        """Keep the request open until its answer has left this process.
 
-        Bytes that wait for a slow caller are lost if the process ends before.
+        Bytes that are buffered for a slow caller are lost if the process ends before.
         """
         self._when_flushed(self._remove_from_open)
 
     def _remove_from_open(self, iterations: int = NEXT_HEAD_LOOP_ITERATIONS) -> None:
-        """Count the request as open until one that was sent ahead counts.
+        """Remove the request from the open ones once a pipelined request is open.
 
-        An entry that ends closes connections on which nothing is open.
+        A draining entry closes connections that have no open request.
         """
         if iterations:
             asyncio.get_running_loop().call_soon(self._remove_from_open, iterations - 1)
@@ -249,7 +251,7 @@
 
 
 def _consume_exception(future: asyncio.Future) -> None:
-    """Take the error of a write; the close callback tells of the caller's leaving."""
+    """Discard the exception of a write; the close callback handles the disconnect."""
     if not future.cancelled():
         future.exception()
 
@@ -258,9 +260,9 @@
     """The connections of callers.
 
     Attributes:
-        open: Requests whose heads have come and whose answers have not left yet.
-        idle: How long connections may stay idle.
-        longest_head: Bytes that the head of a request may have.
+        open: Requests whose head was received and whose answer has not been flushed.
+        idle: Idle timeout of the connections.
+        max_head_bytes: Limit of a request's head in bytes.
     """
 
     def __init__(
@@ -279,7 +281,7 @@
     def start_request(
         self, server_conn: object, request_conn: HTTP1Connection
     ) -> HTTPMessageDelegate:
-        """Return what takes the next request of a connection."""
+        """Return the delegate for the next request of a connection."""
         idle_timer = IdleTimer(request_conn, self.idle, self._clock)
         return CallerExchange(
             request_conn,
--- a/packages/relay/tests/relay/test_caller.py
+++ b/packages/relay/tests/relay/test_caller.py
@@ -1,4 +1,4 @@
-"""Tests of how the connections of callers and engines end, over real ones."""
+"""Tests of how connections of callers and engines end, over real sockets."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
     Exchange,
 )
 
-#: Seconds after which a caller that gets nothing is taken to wait for ever.
+#: Seconds after which a test fails because nothing arrives.
 TIMEOUT = 10.0
 REQUEST = b"POST /%d HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"
 
 
 @asynccontextmanager
 async def serving(serve, close_after_answer=lambda: False, **parameters):
-    """Serve callers; yields the address."""
+    """Run a server for callers; yield its address."""
     async with serving_connections(serve, close_after_answer, **parameters) as (
         address,
         _,
@@ -46,11 +46,11 @@
 
 @asynccontextmanager
 async def serving_connections(serve, close_after_answer=lambda: False, **parameters):
-    """Serve callers; yields the address and the connections."""
+    """Run a server for callers; yield its address and the connections."""
     clock = asyncio.get_running_loop().time
     connections = CallerConnections(serve, clock, close_after_answer)
     server = HTTPServer(connections, **parameters)
-    # As in the entry, where `IdleWatch` closes idle connections.
+    # As in the entry, where `IdleTimer` closes idle connections.
     server.conn_params.header_timeout = None
     server.listen(0, "127.0.0.1")
     (listening,) = server._sockets.values()
@@ -62,7 +62,7 @@
 
 
 async def echo(exchange) -> None:
-    """Answer with the path of a request."""
+    """Answer with the path of the request."""
     exchange.answer(200, HTTPHeaders(), exchange.target.encode())
 
 
@@ -74,7 +74,7 @@
 
 
 def run(test) -> None:
-    """Run a test in a loop of its own."""
+    """Run a test in a loop of its own, with a timeout."""
 
     async def run_with_timeout():
         async with asyncio.timeout(TIMEOUT):
@@ -95,12 +95,12 @@
 
 
 def test_draining_entry_does_not_serve_a_pipelined_request_after_the_last_answer():
-    """A request is passed on whose connection is closed already.
+    """A pipelined request was served although its connection was closed.
 
-    A caller sent it ahead, behind one whose head was read before the entry was asked to
-    end. The connection is closed behind the first answer, but the next request lies in
-    the memory of the closed connection, is read from there and served. Nothing tells
-    the entry that its caller is gone.
+    It follows a request whose head was read before the entry was asked to shut down.
+    The connection is closed after the first answer, but tornado reads the next request
+    from the buffer of the closed connection, and nothing tells the entry that the
+    caller has disconnected.
     """
     served = []
 
@@ -122,10 +122,10 @@
 
 
 def test_pipelined_request_is_not_served_after_an_abort():
-    """A request is passed on whose connection the entry has closed itself.
+    """A pipelined request was served after the entry had closed its connection.
 
-    The answer before it was broken off. As above, it is read from the memory of the
-    closed connection.
+    The previous answer was aborted. As above, the request is read from the buffer of
+    the closed connection.
     """
     served = []
 
@@ -159,9 +159,9 @@
 
 
 def test_abort_sends_buffered_data_before_closing():
-    """Fewer events came than were passed on, so it was resumed further back.
+    """Buffered data was dropped on abort, so the answer was resumed too far back.
 
-    What the kernel had no room for waited in the process, and was dropped.
+    Data that the kernel's socket buffer had no room for was waiting in the process.
     """
     size = 32 * 1024 * 1024
 
@@ -204,10 +204,10 @@
 
 
 def test_http_1_0_stream_ends_by_closing_the_connection():
-    """A caller waits for ever behind a whole answer.
+    """A caller waited forever after a complete answer.
 
     It speaks HTTP/1.0 and asks to keep the connection. The answer has neither a length
-    nor chunks, so only the end of the connection can end it, and that is kept.
+    nor chunks, so only closing the connection can end it, and it was kept open.
     """
 
     async def serve(exchange):
@@ -261,7 +261,7 @@
 
 
 def make_gateway(fails, errors):
-    """Return a gateway whose forwarder of streams has a defect."""
+    """Return a gateway whose forwarder of streams raises an exception."""
     route = SimpleNamespace(name="rooms", timeout=9.0, service_for=lambda name: "rooms")
     table = SimpleNamespace(
         route=lambda host, path: route,
@@ -322,11 +322,11 @@
 
 
 def test_connect_without_free_file_descriptors_returns_not_sent():
-    """Begun streams are broken off at once, and others get 500 instead of 503.
+    """Started streams were aborted, and other callers got 500 instead of 503.
 
-    Where the process has no file descriptor left, the socket to the next engine can't
-    be made, and that error is not taken for a connection that could not be made. It
-    ends the request as a defect of the entry.
+    Without a free file descriptor the socket to the next engine cannot be created. That
+    error was not handled as a failure to connect, and ended the request as an internal
+    error.
     """
 
     async def test():
@@ -375,7 +375,7 @@
         writer.write(answer)
         await writer.drain()
         if resets:
-            # What was written must have been read first, or the reset overtakes it.
+            # The data must have been read before the reset discards it.
             await asyncio.wait_for(read.wait(), TIMEOUT)
             option = struct.pack("ii", 1, 0)
             sock = writer.get_extra_info("socket")
@@ -442,7 +442,7 @@
 
 
 def test_address_without_a_reusable_connection_is_not_idle():
-    """Paths are chosen for the connections that are kept to their first engines."""
+    """Path selection prefers first engines to which idle connections are kept."""
     closed = []
     stream = SimpleNamespace(clean=False, close=lambda: closed.append(True))
     pool = ConnectionPool()
@@ -452,7 +452,7 @@
 
 
 def test_head_over_the_limit_is_refused_with_an_answer():
-    """Its connection was closed without a word."""
+    """Its connection used to be closed without an answer."""
 
     async def test():
         async with serving_connections(echo) as (address, callers):
