--- a/packages/relay/src/lacewingcourse/relay/job.py
+++ b/packages/relay/src/lacewingcourse/relay/job.py
@@ -1,4 +1,4 @@
-"""A request on its way: what it asks for, and until when."""
+"""The state of a request while it is forwarded."""
 
 from __future__ import annotations
 
@@ -25,41 +25,43 @@
     from lacewingcourse.relay.caller import CallerExchange
     from lacewingcourse.relay.ports import CallerRequest
 
-#: Least urgent rank that engines know, of ten.
+#: Least urgent of the ten ranks that engines accept.
 LEAST_URGENT_RANK = 9
-#: Rejections after which a request is given up; each takes a round trip and counts as a
-#: retry.
+#: Rejections after which a request fails. Each one takes a round trip and a retry.
 MAX_REJECTIONS = 4
 
 
 @attrs.define(eq=False)
 class Job:
-    """A request on its way.
+    """The state of a request while it is forwarded.
 
     Attributes:
         request: The caller's request.
         route: Its route.
         service: The service chosen for it.
-        organisation: Whom it belongs to.
-        caller: The connection that its answer goes to.
-        strip_key: Whether the caller's key stops here.
-        until: Time at which the route's time or the caller's is over, seconds.
+        organisation: The organisation that it belongs to.
+        caller: The exchange with the caller that gets the answer.
+        strip_key: Whether the caller's key is removed before forwarding.
+        deadline: Time at which the time limit of the route or of the caller expires,
+            seconds.
         sends: Sends that reached an endpoint.
-        rejections: Those that the endpoint rejected without running them.
-        firsts: Endpoints that it was sent to.
-        worst: The most that may have become of a send so far.
-        avoid: Endpoints that this request is not sent to again.
-        limited: Endpoints that it was kept from because of the limits that they name.
-        current: Exchange with an endpoint that is under way.
-        reason: Why the last send brought nothing.
+        rejections: Those that an endpoint rejected without running them.
+        sent_to: Endpoints that it was sent to; for a stream, the first ones of its
+            paths.
+        worst_outcome: Worst outcome of any send so far.
+        avoid: Endpoints that it is not sent to again.
+        limited: Endpoints that it was not sent to because they are at their limits.
+        current_exchange: Exchange with an endpoint that is in progress, None without
+            one.
+        reason: Why the last send failed.
         path: Path of the last send of a stream, for the log.
-        first_at: When the first event was passed on, None before it.
+        first_event_at: When the first event was passed on, None before it.
         longest_gap: Longest time between two events passed on, seconds.
-        progressed_at: When the last event was passed on, seconds.
+        last_event_at: When the last event was passed on, seconds.
         waited: Seconds for which it waited for room on paths.
-        events: Times at which events were passed on.
-        watched: What watches its stream for standing still, None if nothing does.
-        takes: Tells whether an entry that is ending takes it at some time, seconds.
+        events: Number of events passed on.
+        watched: State of its stall detection, None if it is not watched.
+        accepts: Returns whether a draining entry accepts it at a given time in seconds.
     """
 
     request: CallerRequest
@@ -88,7 +90,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """What identifies the request when its caller sends it again."""
+        """Identifies the request when its caller sends it again."""
         request = self.request
         key = (request.key or "").encode()
         target = request.target.encode()
@@ -96,11 +98,10 @@
 
     @property
     def may_send_again(self) -> bool:
-        """Whether it may be sent again after what became of it.
+        """Whether it may be sent again given the outcomes so far.
 
-        A send that was rejected has not run, so it may be made good, but only through
-        endpoints that the request was sent to already once these are as many as the
-        route allows.
+        A rejected send has not run, so it may be repeated. Once the request was sent to
+        as many endpoints as the route allows, only these may be used.
         """
         attempts = self.sends - self.rejections
         if attempts >= self.route.most_attempts or self.caller.disconnected:
@@ -122,13 +123,13 @@
 
     @property
     def may_move(self) -> bool:
-        """Whether its stream may go on on another path while a run is under way."""
+        """Whether its stream may switch to another path while a run is in progress."""
         return self.may_send_again and self.route.retry_safety.may_retry
 
     def drain_refusal(self, now: float) -> Refusal | None:
-        """Return why it may not be sent by an entry that is ending, None if it may.
+        """Return why a draining entry may not send it, None if it may.
 
-        An answer that its caller reads already goes on.
+        An answer that its caller is already reading continues.
 
         Args:
             now: Present time in seconds.
@@ -139,14 +140,14 @@
 
     @property
     def caller_may_retry(self) -> bool:
-        """Whether its caller may be told truly that it has not run, and ask again."""
+        """Whether its caller can be told that it has not run, and may send it again."""
         return (
             not self.caller.response_started
             and self.worst_outcome is not SendOutcome.MAY_HAVE_RUN
         )
 
     def record_event(self, now: float) -> None:
-        """Note events that were passed on."""
+        """Record that an event was passed on."""
         self.events += 1
         if self.first_event_at is None:
             self.first_event_at = now
@@ -156,7 +157,7 @@
 
     @property
     def urgency(self) -> int:
-        """Rank of the request, 0 for what is served first."""
+        """Rank of the request, 0 for the most urgent."""
         priority = self.organisation.priority
         if priority is None:
             priority = self.route.priority
@@ -177,10 +178,10 @@
             endpoint: Name under which the endpoint registers.
             address: Its address.
             path: Path that starts there, None for a plain service.
-            now: Present time.
-            after: Identifier of the last event passed on, or empty.
-            incarnation: Id of the endpoint's incarnation, empty if it has no other
-                than its name.
+            now: Present time in seconds.
+            resume_after: Identifier of the last event passed on, or empty.
+            incarnation: Id of the endpoint's incarnation, empty if it has none besides
+                its name.
         """
         return Sending(
             endpoint=endpoint,
@@ -195,7 +196,7 @@
         )
 
     def record_outcome(self, outcome: SendOutcome, reason: str) -> None:
-        """Note what became of a send."""
+        """Record the outcome of a send."""
         self.reason = reason
         if outcome is SendOutcome.REJECTED:
             self.rejections += 1
@@ -205,15 +206,20 @@
             self.worst_outcome = outcome
 
     def on_caller_disconnect(self) -> None:
-        """Stop the endpoint's work, since the caller has left."""
+        """Stop the endpoint's work because the caller has disconnected."""
         if self.current_exchange is not None:
             self.current_exchange.arrivals.put_nowait(Abandoned("the caller left"))
             self.current_exchange.abandon()
 
     def failure(self, kind: ErrorKind, retry_after: float | None) -> Refusal:
-        """Return how the request ends without an answer of an endpoint.
+        """Return the refusal of a request that no endpoint answered.
+
+        A request that may have run is never reported as not run.
 
-        What may have run is never told as not run.
+        Args:
+            kind: Why it failed, reported if it has not run or has timed out.
+            retry_after: Seconds after which its caller may retry if it has not run,
+                None if unknown.
         """
         if self.worst_outcome is not SendOutcome.MAY_HAVE_RUN:
             return Refusal(kind, self.reason, Outcome.NOT_RUN, retry_after)
--- a/packages/relay/tests/relay/test_job.py
+++ b/packages/relay/tests/relay/test_job.py
@@ -27,7 +27,7 @@
 
 
 def send(job, endpoint, outcome):
-    """Note a send to an endpoint and what became of it."""
+    """Record a send to an endpoint and its outcome."""
     job.sends += 1
     job.sent_to.add(endpoint)
     job.record_outcome(outcome, "test")
@@ -43,7 +43,7 @@
 
 
 def test_rejected_second_send_does_not_end_a_started_answer(make_job):
-    """Seven answers of a day were cut off so, beside a change of configuration."""
+    """Seven answers in a day were aborted this way around a configuration change."""
     job = make_job()
     send(job, "a", SendOutcome.MAY_HAVE_RUN)
     send(job, "b", SendOutcome.REJECTED)
