--- a/packages/relay/src/lacewingcourse/relay/admission.py
+++ b/packages/relay/src/lacewingcourse/relay/admission.py
@@ -1,4 +1,4 @@
-"""Requests that wait here until a path has room for them."""
+"""Queues requests until a path has room for them."""
 
 from __future__ import annotations
 
@@ -22,21 +22,23 @@
     from lacewingcourse.core.pipelines.path import Path
     from lacewingcourse.relay.job import Job
 
-#: Seconds between two tries of a request that waits. Room that other entries' requests
-#: leave is heard of a few times a second, so no wake-up tells of it.
+#: Seconds between two attempts of a waiting request to get a path. Room freed by
+#: requests of other entries is reported by gossip a few times a second, so no event can
+#: wake a request up.
 RETRY_PERIOD = 0.03
-#: Reasons for which there may be a path a moment later.
+#: Kinds of refusals after which a path may be available a moment later.
 TRANSIENT_KINDS = frozenset({ErrorKind.OVERLOADED, ErrorKind.NO_ROUTE})
 
 
 @attrs.define
 class Admission:
-    """Lets requests onto paths, in order of their urgency.
+    """Assigns paths to requests, in order of urgency.
 
     Attributes:
         clock: Returns the present time in seconds.
-        wait: Returns until when a request waits, from when it came and its objective.
-        queue: The requests that wait.
+        wait: Returns the time until which a request waits, from its arrival and
+            objective.
+        queue: The waiting requests.
     """
 
     clock: Callable[[], float]
@@ -46,11 +48,11 @@
     async def path_for(
         self, job: Job, demand: Demand, choose: Callable[[], Path | Refusal]
     ) -> Path | Refusal:
-        """Return a path for a request, waiting a little for room if there is none.
+        """Return a path for a request, waiting for room for a limited time.
 
         Args:
             job: The request.
-            demand: What it needs.
+            demand: Its demand on the path.
             choose: Returns a path, or why there is none at present.
         """
         now = self.clock()
@@ -72,7 +74,7 @@
             self.queue.discard(queued)
 
     def _queue_entry(self, job: Job, demand: Demand, now: float) -> QueuedRequest:
-        """Return how long a request waits."""
+        """Return the queue entry of a request, with the time until which it waits."""
         if job.caller.response_started:
             patience = continued_wait(job.route.objective, job.route.gap)
             until = job.last_event_at + patience
@@ -92,17 +94,16 @@
 
 
 def _should_wait(found: Path | Refusal, job: Job, left: float) -> bool:
-    """Tell whether a request waits for room that may turn up soon.
+    """Return whether a request waits for room that may become available soon.
 
-    That nothing holds the layers may be news of a moment as well: an entry that has
-    just started learns of the endpoints within some tens of milliseconds. For a retry
-    waits only what cannot be asked back: any other caller comes back with a new
-    request, which needs none.
+    `NO_ROUTE` may be transient too: an entry that has just started discovers the
+    endpoints within some tens of milliseconds. Only a request whose caller cannot send
+    it again waits for a retry; any other caller sends a new request, which needs none.
 
     Args:
-        found: What was found.
+        found: The path, or why there is none.
         job: The request.
-        left: Seconds for which it may wait.
+        left: Seconds for which it may still wait.
     """
     if not isinstance(found, Refusal):
         return False
--- a/packages/relay/tests/relay/test_admission.py
+++ b/packages/relay/tests/relay/test_admission.py
@@ -17,7 +17,7 @@
 
 
 def make_job(response_started: bool):
-    """Return what admission needs of a request that came at 100."""
+    """Return what admission needs of a request that arrived at 100."""
     return SimpleNamespace(
         request=SimpleNamespace(received_at=100.0),
         route=SimpleNamespace(objective=0.5, gap=0.2),
@@ -29,7 +29,7 @@
 
 
 class ManualClock:
-    """A clock that a test moves."""
+    """A clock that a test sets."""
 
     def __init__(self, now: float) -> None:
         self.now = now
@@ -39,7 +39,7 @@
 
 
 def give_up_time(job, start, monkeypatch):
-    """Return when a request stops to wait for room that never comes."""
+    """Return when a request stops waiting for room that never becomes available."""
     clock = ManualClock(start)
 
     async def sleep(seconds):
@@ -52,13 +52,13 @@
 
 
 def test_new_request_waits_while_it_can_meet_its_objective(monkeypatch):
-    """With two objectives late answers took the room of those still in time."""
+    """With a wait of two objectives, late answers took room from punctual ones."""
     until = give_up_time(make_job(response_started=False), 100.0, monkeypatch)
     assert abs(until - (100.0 + 0.5 * IN_TIME_SHARE)) < 0.01
 
 
 def test_broken_stream_waits_as_long_as_its_caller(monkeypatch):
-    """Cut after half the allowed pause, it was lost although room came later."""
+    """Aborted after half the allowed pause, it was lost although room came later."""
     until = give_up_time(make_job(response_started=True), 103.1, monkeypatch)
     assert abs(until - (103.0 + 2.2)) < 0.01
 
@@ -68,7 +68,7 @@
     [(0.5, 0.2, 2.0), (0.503, 0.25, 2.012), (0.603, 0.3, 2.412), (0.1, 0.5, 4.0)],
 )
 def test_broken_stream_waits_longer_than_its_caller(objective, gap, leaves_after):
-    """With one time for all routes, callers that would have read on were cut off."""
+    """With one wait for all routes, callers that kept reading were cut off."""
     assert continued_wait(objective, gap) > leaves_after
 
 
