--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -1,4 +1,4 @@
-"""What callers meet: each request is routed, forwarded and answered here."""
+"""Routes, forwards and answers the requests of callers."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
     from lacewingcourse.relay.readiness import Readiness
     from lacewingcourse.relay.streams import StreamForwarder
 
-#: Seconds for which a request waits for the first configuration. An entry listens
-#: tens of milliseconds before it has one; after a restart of all entries the callers
-#: that come then have no further try.
+#: Seconds for which a request waits for the first configuration. An entry listens tens
+#: of milliseconds before it has one, and after a restart of all entries the callers
+#: that arrive then have no further retry.
 FIRST_CONFIGURATION_WAIT = 0.8
-#: Seconds after which a caller may try an entry again that knows no configuration.
+#: `Retry-After` in seconds of an entry that has no configuration.
 NOT_READY_RETRY_AFTER = 0.5
-#: Seconds after which a caller may try again that met an entry about to end while
-#: others serve; its next connection goes to another one. While every entry is ending,
-#: the time is that until the first is back.
+#: `Retry-After` in seconds of a draining entry while others serve; the caller's next
+#: connection goes to another one. While every entry drains, the time until the first is
+#: back is used instead.
 DRAINING_RETRY_AFTER = 0.05
-#: Seconds by which that time is spread, so that those refused together do not return
-#: together.
+#: Greatest jitter in seconds that is added to that time, so that callers refused
+#: together do not return together.
 RETRY_JITTER = 0.5
-#: Why a request is refused or cut short by an entry that leaves.
+#: Reason of a request that a draining entry refuses or aborts.
 DRAINING_REASON = Unsent.LEAVING.value
 
 
@@ -49,19 +49,19 @@
     """Routes, forwards and answers requests.
 
     Attributes:
-        beliefs: What is believed of the deployment.
-        codec: How requests look on the platform.
+        beliefs: Local view of the deployment.
+        codec: Decodes and encodes requests and answers of the platform.
         calls: Forwards calls to plain services.
         streams: Forwards streams.
-        readiness: Whether this entry is ending.
-        log: Log of decisions.
+        readiness: State of this entry's drain.
+        log: Decision log.
         clock: Returns the present time in seconds.
-        ready_in: Returns the seconds until an entry takes connections.
-        rng: Source of draws.
-        jobs: What is done for the requests that were routed and have not ended.
-        serving: Those whose requests have arrived whole and have not ended.
-        waits_for: Returns what the seconds of `ready_in` rest on, for the log.
-        guard: Tells whether refusals for unknown routes and keys can be trusted.
+        ready_in: Returns the seconds until an entry accepts connections.
+        rng: Source of random numbers.
+        jobs: Jobs of the requests that were routed and have not ended.
+        serving: Exchanges whose requests were received completely and have not ended.
+        waits_for: Returns which entry `ready_in` is based on, for the log.
+        guard: Decides whether refusals for unknown routes and keys can be trusted.
     """
 
     beliefs: Beliefs
@@ -79,7 +79,7 @@
     guard: StalenessGuard = attrs.field(factory=StalenessGuard)
 
     async def serve(self, caller: CallerExchange) -> None:
-        """Serve one request of a caller; whatever happens, it is answered."""
+        """Serve one request of a caller; always answer it, even after an exception."""
         self.serving.add(caller)
         try:
             await self._serve(caller)
@@ -94,13 +94,12 @@
             self.serving.discard(caller)
 
     def abort(self, caller: CallerExchange, now: float) -> None:
-        """End a request for which no time is left, whatever happens.
+        """End an open request at the drain deadline, even if an exception is raised.
 
-        Its task is stopped first, so that nothing is sent for it any more and nothing
-        else is answered.
+        Its task is cancelled first, so that it sends and answers nothing more.
 
         Args:
-            caller: Whose request it is.
+            caller: Exchange of the request.
             now: Present time in seconds.
         """
         caller.cancel()
@@ -112,7 +111,7 @@
                 caller.abort()
 
     def _answer_aborted(self, caller: CallerExchange, now: float) -> None:
-        """End a request that was stopped, as truly as can be told."""
+        """End the answer of a cancelled request, with its outcome as far as known."""
         job = self.jobs.get(caller)
         if caller.response_ended or caller.disconnected:
             return
@@ -132,7 +131,7 @@
         self._refuse(caller, job.request, refusal)
 
     def _abandon_send(self, job: Job) -> None:
-        """Stop what an endpoint does for a request that is cut short."""
+        """Abandon the exchange with an endpoint for a request that is aborted."""
         if job.current_exchange is None:
             job.reason = DRAINING_REASON
             return
@@ -183,7 +182,7 @@
             self.log.broken_off(job, refusal, now)
 
     def _record_duration(self, job: Job, now: float) -> None:
-        """Note how long a whole answer took."""
+        """Record how long a complete answer took."""
         durations, received = self.beliefs.durations, job.request.received_at
         durations.note(job.route.name, now - received)
         if job.events > 1:
@@ -191,9 +190,9 @@
             durations.note_stream(job.service, job.first_event_at - received, interval)
 
     async def _wait_for_configuration(self, request: CallerRequest) -> None:
-        """Hold a request that came before the first configuration did.
+        """Hold a request that arrived before the first configuration.
 
-        An entry that is ending asks its caller to go elsewhere at once.
+        A draining entry does not hold it, so that its caller retries elsewhere at once.
         """
         until = request.received_at + FIRST_CONFIGURATION_WAIT
         while self.beliefs.table is None and self.clock() < until:
@@ -204,10 +203,10 @@
     async def _resolve_job(
         self, caller: CallerExchange, request: CallerRequest
     ) -> Job | Refusal:
-        """Return what is to be done for a request, or why nothing is.
+        """Return the job of a request, or why it is refused.
 
-        What is not known here may have come meanwhile, if this entry has not heard for
-        long that its configuration is the newest.
+        A lookup that fails while the configuration is stale is repeated after a wait
+        for a newer version.
         """
         job = self._route(caller, request)
         if not isinstance(job, Refusal) or not self.guard.may_be_outdated(job):
@@ -219,7 +218,7 @@
         return job
 
     def _route(self, caller: CallerExchange, request: CallerRequest) -> Job | Refusal:
-        """Return what is to be done for a request, or why nothing is."""
+        """Return the job of a request by the current table, or why it is refused."""
         table = self.beliefs.table
         if table is None and self.readiness.draining:
             return Refusal(ErrorKind.DRAINING, DRAINING_REASON)
@@ -260,7 +259,7 @@
         return refusal or job
 
     def _with_retry_after(self, refusal: Refusal) -> Refusal:
-        """Return a refusal that sends no caller back to entries which are ending."""
+        """Return a refusal that sends no caller back to draining entries."""
         if refusal.kind is ErrorKind.DRAINING:
             return attrs.evolve(refusal, retry_after=self._retry_after())
         if refusal.retry_after is None or not self.readiness.draining:
@@ -269,14 +268,14 @@
         return attrs.evolve(refusal, retry_after=wait)
 
     def _log_last_request(self, job: Job, taken: bool, now: float) -> None:
-        """Tell whether a request was taken that came while this entry ends."""
+        """Log whether a request that arrived while this entry drains was accepted."""
         time = self.readiness.answer_time(job.route.name, now, job.deadline)
         self.log.last_request(
             job.request, taken, time, self.readiness.drain_deadline - now
         )
 
     def _retry_after(self) -> float:
-        """Return the seconds after which a caller meets an entry that serves it."""
+        """Return the seconds after which a caller reaches an entry that serves it."""
         wait = self.ready_in()
         if not wait:
             return DRAINING_RETRY_AFTER
@@ -288,7 +287,7 @@
         return self.waits_for() if waits else ""
 
     async def _forward(self, job: Job) -> Refusal | None:
-        """Forward a request; return why it has no whole answer, if it has none."""
+        """Forward a request; return why it has no complete answer, else None."""
         shape = self.beliefs.shape(job.service)
         if shape is not None:
             return await self.streams.serve(job, shape)
--- a/packages/relay/tests/relay/test_requests_while_draining.py
+++ b/packages/relay/tests/relay/test_requests_while_draining.py
@@ -1,15 +1,14 @@
-"""Tests of what an entry takes that was asked to end.
-
-Callers lost answers that they were reading. An entry was asked to end; three seconds
-later, when the balancer had no other instance to send callers to, it took a stream,
-since answers of that route were usually over in two seconds. This one was as long as
-its caller allowed. The engine wrote on without a fault until the grace time was over,
-and the entry closed the connection in the middle of the answer. The log showed the
-cause: `broken_off` with kind `draining`, events until two milliseconds before it, and
-12 seconds left of the caller's time.
-
-What nearly all answers take is a guess, and the caller of the one that takes longer
-pays for it.
+"""Tests of the requests that a draining entry accepts.
+
+Answers were aborted while callers were reading them. Three seconds after the shutdown
+request, when the balancer had no other instance to send callers to, an entry accepted a
+stream because answers of that route usually ended within two seconds. This one was as
+long as its caller allowed. The engine kept writing until the grace time was over, and
+the entry closed the connection in the middle of the answer. The log showed `broken_off`
+with kind `draining`, events until two milliseconds before it, and 12 seconds left of
+the caller's time.
+
+The usual duration of a route is no bound: the answer that takes longer is aborted.
 """
 
 from __future__ import annotations
@@ -38,23 +37,23 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Seconds in which the entry must have ended.
+#: Seconds from the shutdown request within which the entry must have ended.
 GRACE = 8.0
 #: Events of the longest answer that callers allow, and seconds between two.
 MAX_EVENTS = 173
 INTERVAL = 0.028
 #: Tokens in one event.
 EVENT_TOKENS = 2
-#: Header of a request that tells how many events its answer may have.
+#: Header of a request with the number of events that its answer may have.
 MAX_EVENTS_HEADER = "Max-Events"
-#: Header that tells for how many seconds its caller waits.
+#: Header of a request with the seconds for which its caller waits.
 PATIENCE_HEADER = "Patience"
-#: What is taken unless an operator chooses otherwise.
+#: Policy that applies unless an operator chooses another one.
 DEFAULT_POLICY = RelaySettings.__attrs_attrs__.last_requests.default
 
 
 class Caller(CallerStub):
-    """A caller of a request whose answer has a number of events."""
+    """A caller of a request whose answer has a given number of events."""
 
     def __init__(
         self,
@@ -84,9 +83,9 @@
     """An entry that serves streams until it ends.
 
     Attributes:
-        gateway: Takes requests.
-        departure: Ends the entry.
-        slowness: How many times as long as usual endpoints take for an event.
+        gateway: Serves requests.
+        drainer: Drains the entry.
+        slowdown: Factor by which endpoints take longer than usual for an event.
     """
 
     gateway: Gateway
@@ -99,7 +98,7 @@
         max_events: int = MAX_EVENTS,
         patience: float | None = None,
     ) -> Caller:
-        """Send it a request whose answer has a number of events."""
+        """Send a request whose answer has a given number of events."""
         caller = Caller(events, max_events, patience, self.interval)
         caller.task = asyncio.ensure_future(self.gateway.serve(caller))
         self.drainer.callers.open.add(caller)
@@ -113,13 +112,13 @@
         return INTERVAL * self.slowdown
 
     async def serve_usual_answers(self) -> None:
-        """Serve answers of which nearly all are over in two seconds."""
+        """Serve answers of which nearly all end within two seconds."""
         callers = [self.call(events) for events in range(41, 73)]
         await asyncio.gather(*(caller.task for caller in callers))
 
 
 async def write_events(job, shape) -> None:
-    """Write an answer as an engine does that is well."""
+    """Write an answer as a healthy engine does."""
     job.caller.begin(200, HTTPHeaders())
     clock = asyncio.get_running_loop().time
     for _ in range(job.caller.events):
@@ -189,9 +188,9 @@
 async def call_while_draining(
     entry: DrainingEntry, after: float, patience: float | None = None
 ) -> Caller:
-    """Return a caller that met an entry some seconds after it was asked to end.
+    """Return a caller whose request arrives some seconds after the shutdown request.
 
-    Its answer is the longest that it allows, as is one that was begun before.
+    Its answer is the longest that it allows, like one that was started before.
     """
     await entry.serve_usual_answers()
     clock = asyncio.get_running_loop().time
@@ -227,7 +226,7 @@
 
 
 def test_request_with_a_deadline_before_the_drain_deadline_is_accepted(entry):
-    """While all entries end one after the other, callers have no other one."""
+    """During a rolling restart callers may have no other entry to go to."""
 
     async def test():
         caller = await call_while_draining(entry("limited"), 1.0, patience=6.0)
@@ -237,9 +236,9 @@
 
 
 def test_request_is_accepted_until_the_balancer_redirects_callers(entry):
-    """The balancer sends it here until it has missed two answers.
+    """The balancer sends callers here until it has missed two probes.
 
-    Refused, it came back to the same entry, and had no further try.
+    A refused caller returned to the same entry, and had no further retry.
     """
 
     async def test():
@@ -250,7 +249,7 @@
 
 
 def test_expected_policy_accepts_an_answer_that_is_then_aborted(entry):
-    """What was seen, kept as a choice for deployments where no answer is that long."""
+    """The failure above. The policy is kept for deployments without long answers."""
 
     async def test():
         caller = await call_while_draining(entry("expected"), 3.0)
--- a/packages/relay/tests/relay/test_sigterm.py
+++ b/packages/relay/tests/relay/test_sigterm.py
@@ -1,4 +1,4 @@
-"""Tests of how the request to end is taken and from when it counts."""
+"""Tests of the handling of SIGTERM and of when the grace time starts."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from .test_caller import REQUEST, read_answer, run, serving_connections
 from .test_drain import LogRecorder, entry_with
 
-#: Seconds in which the entry must have ended.
+#: Seconds from the shutdown request within which the entry must have ended.
 GRACE = 8.0
-#: Present time, and when the loop was known to run before it.
+#: Present time, and when the loop was last known to run before it.
 NOW, BEFORE = 10.0, 9.0
-#: Seconds after which another entry takes connections.
+#: Seconds after which another entry accepts connections.
 READY_IN = 4.0
 
 
 @pytest.fixture
 def make_application():
-    """Return a function that makes what the handlers of an entry use."""
+    """Return a function that makes the attributes that the signal handlers use."""
 
     def make(log_drain_start=lambda: 1.0):
         readiness = Readiness(Beliefs(), GRACE)
