--- a/packages/relay/src/lacewingcourse/relay/calls.py
+++ b/packages/relay/src/lacewingcourse/relay/calls.py
@@ -1,4 +1,4 @@
-"""Forwarding of calls to plain services."""
+"""Forwards calls to plain services."""
 
 from __future__ import annotations
 
@@ -39,18 +39,19 @@
     from lacewingcourse.relay.job import Job
     from lacewingcourse.relay.upstream import Exchange
 
-#: Connections that may fail to be made for one request before it is refused.
+#: Failed connection attempts after which a call is refused.
 MAX_CONNECT_FAILURES = 3
-#: Objectives after which an idempotent call is tried at another endpoint.
+#: Multiple of the route's objective after which an idempotent call is tried at another
+#: endpoint.
 PATIENCE_OBJECTIVES = 2.5
-#: How a call ends that was not sent for a reason which lies with no endpoint.
+#: Error kind of a call that was not sent for a reason unrelated to the endpoint.
 UNSENT_ERROR_KINDS = {
     Unsent.OVERDUE: ErrorKind.DEADLINE_EXCEEDED,
     Unsent.NO_DESCRIPTOR: ErrorKind.OVERLOADED,
     Unsent.LEAVING: ErrorKind.DRAINING,
     Unsent.NO_RETRY: ErrorKind.RETRIES_EXHAUSTED,
 }
-#: Seconds after which a refused call is worth trying again.
+#: `Retry-After` of a refused call in seconds.
 CALL_RETRY_AFTER = 0.3
 
 
@@ -59,12 +60,12 @@
     """Sends calls to endpoints of plain services.
 
     Attributes:
-        beliefs: What is believed of the endpoints.
-        sender: What sends.
-        budget: Repeats that are left.
+        beliefs: Local view of the endpoints.
+        sender: Sends requests.
+        budget: Retry budget.
         zone: Availability zone of this entry.
-        rng: Source of draws.
-        log: Log of decisions.
+        rng: Source of random numbers.
+        log: Decision log.
     """
 
     beliefs: Beliefs
@@ -75,7 +76,7 @@
     log: DecisionLog
 
     async def serve(self, job: Job) -> WholeAnswer | Refusal:
-        """Return an endpoint's answer to a call, or how it ends without one."""
+        """Return an endpoint's answer to a call, or the refusal if it has none."""
         try:
             return await self._serve(job)
         finally:
@@ -128,7 +129,7 @@
                 return self._failure(job, result)
 
     def _should_wait(self, job: Job, refusal: Refusal, now: float) -> bool:
-        """Tell whether a call that found no endpoint may find one in a moment."""
+        """Return whether a call without an endpoint may find one a moment later."""
         if refusal.kind is ErrorKind.DRAINING:
             return False
         if job.sends or job.avoid or job.caller.disconnected:
@@ -141,12 +142,12 @@
     ) -> Endpoint | Refusal:
         """Return the endpoint that a call may be sent to now, or why there is none.
 
-        The call holds the retry and the place under a limit that the send needs.
+        The call then holds the retry and the permit under a limit that the send needs.
 
         Args:
             job: The call.
             now: Present time in seconds.
-            besides: Endpoints to avoid besides those that it avoids anyway.
+            besides: Endpoints to avoid in addition to those that the call avoids.
         """
         refusal = job.drain_refusal(now)
         if refusal is not None:
@@ -172,7 +173,7 @@
         avoided: Collection[str],
         now: float,
     ) -> Endpoint | Refusal:
-        """Return one of some endpoints that may be sent a call now, or why none may."""
+        """Return which of some endpoints a call may be sent to now, or why none."""
         limits, loads = self.beliefs.send_limits, self.beliefs.loads
 
         def choose(among: list[Endpoint]) -> Endpoint | Refusal:
@@ -183,7 +184,7 @@
         )
 
     def _retry_after(self, refusal: Refusal) -> float:
-        """Return the seconds after which the caller of a refused call comes back."""
+        """Return the `Retry-After` of a refused call in seconds."""
         if refusal.retry_after is None:
             return CALL_RETRY_AFTER
         wait = retry_after_limit(refusal.retry_after, self.rng.random())
@@ -192,20 +193,20 @@
     async def _attempt(
         self, job: Job, endpoint: Endpoint
     ) -> WholeAnswer | NoAnswer | NotSent:
-        """Return an endpoint's answer, or what became of the call there."""
+        """Return an endpoint's answer to a call, or why there is none."""
         self.beliefs.loads.begin_call(endpoint.id)
         try:
             fresh = not job.route.retry_safety.may_retry
             result = await self._send(job, endpoint, fresh)
             if not isinstance(result, NoAnswer) or not result.dropped:
                 return result
-            # Endpoints drop kept connections without notice; it is no lost run.
+            # Endpoints drop idle connections without notice; this is not a lost run.
             self.sender.pool.drop(endpoint.address)
             job.sends -= 1
             job.record_outcome(result.outcome, result.reason)
             again = await self._send(job, endpoint, fresh=True)
             if isinstance(again, NotSent) and again.cause is Unsent.UNREACHABLE:
-                # It is gone, perhaps under this call.
+                # The endpoint is gone, perhaps while it ran this call.
                 job.sends += 1
                 return result
             return again
@@ -240,7 +241,7 @@
         try:
             return await self._read(job, endpoint, sent, now)
         except BaseException:
-            # The endpoint must not work on for a caller whose answer has ended.
+            # The endpoint must not keep working for a caller whose answer has ended.
             sent.abandon()
             raise
         finally:
@@ -249,10 +250,10 @@
     async def _read(
         self, job: Job, endpoint: Endpoint, exchange: Exchange, sent_at: float
     ) -> WholeAnswer | NoAnswer:
-        """Return an endpoint's answer, or how it was left.
+        """Return an endpoint's answer, or why it was abandoned.
 
-        A slow endpoint is left only for another one that may be asked: closed first,
-        an answer that would have come in time is lost where there is none.
+        A slow endpoint is abandoned only if another one may be sent the call: closing
+        its exchange first would lose an answer that may still come in time.
         """
         reader = AnswerReader(self.sender, exchange, job.request, sent_at)
         answer = await reader.read(self._answer_timeout_at(job, sent_at))
@@ -266,14 +267,14 @@
         return answer
 
     def _may_switch(self, job: Job, endpoint: Endpoint, now: float) -> bool:
-        """Tell whether another endpoint may be asked in place of a slow one."""
+        """Return whether another endpoint may be sent the call instead."""
         if not job.may_try_another:
             return False
         other = self._choose(job, now, besides=(endpoint.id,))
         return not isinstance(other, Refusal)
 
     def _answer_timeout_at(self, job: Job, now: float) -> float:
-        """Return until when an endpoint is waited for before another one is tried."""
+        """Return the time until which to wait before another endpoint is tried."""
         if not job.route.retry_safety.may_retry or not job.may_try_another:
             return job.deadline
         patience = max(0.1, PATIENCE_OBJECTIVES * job.route.objective)
--- a/packages/relay/tests/relay/test_calls.py
+++ b/packages/relay/tests/relay/test_calls.py
@@ -1,8 +1,8 @@
-"""Tests of calls to plain services whose endpoints are slow.
+"""Tests of calls to plain services.
 
-Callers of idempotent calls got 502 although the endpoint would have answered in time:
-after some objectives its send was closed to try another endpoint, and only then it was
-asked whether a retry was left and another endpoint free.
+Callers of idempotent calls got 502 although a slow endpoint would have answered in
+time: its exchange was closed before it was checked whether a retry was left and another
+endpoint was free.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 from .stream_play import NONE, PLENTY, Decisions
 from .virtual_time import play
 
-#: Seconds that a slow endpoint takes, and a quick one.
+#: Seconds that a slow endpoint takes, and a fast one.
 SLOW_SECONDS = 1.0
 FAST_SECONDS = 0.05
 #: Status of an endpoint that has not run a call.
@@ -49,7 +49,7 @@
 
 
 class FakeExchange:
-    """A send to an endpoint that answers after some time."""
+    """An exchange with an endpoint that answers after some time."""
 
     def __init__(self, name: str, seconds: float, status: int, dropped: bool) -> None:
         self.arrivals: asyncio.Queue = asyncio.Queue()
@@ -75,15 +75,15 @@
 
 @attrs.define(slots=False)
 class CallPlay:
-    """A call to a service of two endpoints; the first one sent to is the slow one.
+    """A call to a service of two endpoints; the first one that gets it is slow.
 
     Attributes:
-        slack: Repeats that are allowed.
-        endpoints: Endpoints of the service.
+        slack: Retries that the budget allows.
+        endpoints: Number of endpoints of the service.
         status: Status of every answer.
-        retry_safety: What may be repeated.
-        unsent: Why it cannot be sent, None if it can.
-        drops: Whether the endpoints have dropped the connections that are kept to them.
+        retry_safety: Which calls may be repeated.
+        unsent: Why the call cannot be sent, None if it can.
+        drops: Whether the endpoints have dropped their idle connections.
         slow: Seconds that the first endpoint takes.
     """
 
@@ -107,7 +107,7 @@
         return asyncio.get_running_loop().time()
 
     async def serve(self) -> WholeAnswer | Refusal:
-        """Serve the call; return its answer, or how it ended."""
+        """Serve the call; return its answer, or the refusal."""
         for number in range(self.endpoints):
             name = f"e{number}"
             self.beliefs.fleet.put(Endpoint(name, "desk", f"{name}:1", "east", 6))
@@ -141,7 +141,7 @@
     async def send(self, job, sending, fresh) -> FakeExchange | NotSent:
         return await Sender.send(self, job, sending, fresh)
 
-    #: What a send needs is decided as it really is.
+    #: Retries and limits are checked by the real sender.
     drop_holds = Sender.drop_holds
     _cause_unsent = Sender._cause_unsent
 
@@ -157,7 +157,7 @@
         return self.sends[-1]
 
     def release(self, exchange, head) -> None:
-        """Keep nothing."""
+        """Do nothing: no connection is kept."""
 
 
 @pytest.mark.parametrize("lacks", [{"slack": NONE}, {"endpoints": 1}])
@@ -183,7 +183,7 @@
 
 @pytest.mark.parametrize("retry_safety", [RetrySafety.IDEMPOTENT, RetrySafety.ONCE])
 def test_call_is_answered_after_kept_connections_were_dropped(retry_safety):
-    """Its callers got 502 although the endpoint lived."""
+    """Callers got 502 although the endpoint was alive."""
     played = CallPlay(slack=NONE, endpoints=1, drops=True, retry_safety=retry_safety)
     assert isinstance(play(played.serve()), WholeAnswer)
 
@@ -196,7 +196,7 @@
     ],
 )
 def test_local_send_failure_does_not_suspect_the_endpoint(cause, kind):
-    """Its endpoint was taken for one that cannot be reached, and left out for all."""
+    """The endpoint was taken for unreachable, and excluded for all calls."""
     played = CallPlay(unsent=cause)
     ended = play(played.serve())
     assert ended.kind is kind
@@ -205,7 +205,7 @@
 
 
 def test_rejected_call_without_a_retry_is_reported_as_not_run():
-    """Its caller was told that it may have run, and not when to come back."""
+    """Its caller was told that it may have run, and not when to retry."""
     ended = play(CallPlay(slack=NONE, status=REJECTED).serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
     assert ended.outcome is Outcome.NOT_RUN
@@ -213,7 +213,7 @@
 
 
 def test_exception_while_reading_the_answer_abandons_the_exchange():
-    """The endpoint works on for a caller that has been answered 500."""
+    """The endpoint kept working for a caller that had been answered 500."""
     played = CallPlay(endpoints=1)
 
     def fails(status, headers, request):
@@ -226,7 +226,7 @@
 
 
 def name_limit(played, *names):
-    """Let endpoints name limits, without a permit at hand."""
+    """Let endpoints name limits, without granting permits."""
     for name in names:
         played.beliefs.limits.observe(name, 2.0, 0.0, 0.0)
 
@@ -258,7 +258,7 @@
 
 
 def test_resend_after_a_dropped_connection_needs_another_permit():
-    """The endpoint may have got it: the second send is one more."""
+    """The endpoint may have received the first send, so the second one counts too."""
     played = CallPlay(endpoints=1, drops=True, slow=FAST_SECONDS)
     name_limit(played, "e0")
     grant = Grant("i", (0.0,), 10.0)
--- a/packages/relay/tests/relay/test_sends_while_draining.py
+++ b/packages/relay/tests/relay/test_sends_while_draining.py
@@ -1,4 +1,4 @@
-"""Tests of sends of requests that were taken before the entry was asked to end."""
+"""Tests of sends of requests that were accepted before the drain started."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from .test_requests_while_draining import Caller
 from .virtual_time import play
 
-#: Seconds in which an entry must have ended.
+#: Seconds from the shutdown request within which an entry must have ended.
 GRACE = 8.0
-#: When an entry is asked to end, seconds.
+#: When an entry is asked to shut down, seconds.
 DRAIN_STARTS_AT = 0.1
-#: When an answer comes to what was sent before, seconds.
+#: A time after that, in seconds, at which earlier sends are answered.
 AFTER_DRAIN_START = 0.2
 
 
 def accept_until_drain(job, drain_starts_at=DRAIN_STARTS_AT):
-    """Return a request that an entry which is asked to end takes no more."""
+    """Return a request that the entry no longer accepts once it drains."""
     readiness = Readiness(Beliefs(), GRACE, take_none)
     asyncio.get_running_loop().call_at(
         drain_starts_at, readiness.start_drain, drain_starts_at
@@ -44,12 +44,12 @@
 
 @attrs.define(slots=False)
 class DrainingStream(StreamPlay):
-    """A stream whose entry is asked to end.
+    """A stream whose entry is asked to shut down.
 
     Attributes:
         is_full: Whether the first path has no room.
-        connecting: Seconds that a connection takes after the first one.
-        asked: When its entry is asked to end, seconds.
+        connect_seconds: Seconds that a connection takes after the first one.
+        drain_starts_at: When its entry is asked to shut down, seconds.
     """
 
     is_full: bool = False
@@ -72,7 +72,7 @@
 
 @attrs.define(slots=False)
 class DrainingCall(CallPlay):
-    """A call whose entry is asked to end.
+    """A call whose entry is asked to shut down.
 
     Attributes:
         objective: Seconds in which an answer is wanted.
@@ -157,7 +157,7 @@
 
 @attrs.define(slots=False)
 class LateStream(DrainingStream):
-    """A stream whose connections are made after the entry was asked to end."""
+    """A stream whose connections are established after the drain started."""
 
     async def send(self, job, sending, fresh, reserved=None):
         await asyncio.sleep(AFTER_DRAIN_START)
@@ -166,7 +166,7 @@
 
 @attrs.define(slots=False)
 class LateCall(DrainingCall):
-    """A call whose connections are made after the entry was asked to end."""
+    """A call whose connections are established after the drain started."""
 
     async def send(self, job, sending, fresh):
         await asyncio.sleep(AFTER_DRAIN_START)
