--- a/packages/relay/src/lacewingcourse/relay/address.py
+++ b/packages/relay/src/lacewingcourse/relay/address.py
@@ -1,4 +1,4 @@
-"""IP addresses with ports."""
+"""Parses IP addresses with ports."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
     """Return the IP address and the port of an address.
 
     Raises:
-        ValueError: There is no port.
+        ValueError: The address has no port.
     """
     host, separator, port = address.rpartition(":")
     if not separator:
-        raise ValueError(f"no port in {address!r}")
+        raise ValueError(f"address {address!r} has no port")
     return host, int(port)
--- a/packages/relay/src/lacewingcourse/relay/boot_clock.py
+++ b/packages/relay/src/lacewingcourse/relay/boot_clock.py
@@ -1,4 +1,4 @@
-"""A clock that does not stand still while the machine is suspended."""
+"""A monotonic clock that keeps counting while the machine is suspended."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def boot_time() -> float:
-    """Return the seconds since the machine was started, suspended ones among them."""
+    """Return the seconds since the machine was booted, including suspended time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/relay/src/lacewingcourse/relay/limited_choice.py
+++ b/packages/relay/src/lacewingcourse/relay/limited_choice.py
@@ -1,4 +1,4 @@
-"""The choice of where a request is sent, past endpoints that are at their limits."""
+"""Chooses where a request is sent, skipping endpoints that are at their limits."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 #: What is chosen: a path or an endpoint.
 Choice = TypeVar("Choice")
 
-#: Why a request is refused that only endpoints at their limits could serve.
+#: Reason of a refusal because only endpoints at their limits could serve the request.
 AT_LIMIT = "every endpoint that could serve it is at the limit that it names"
 
 
@@ -29,11 +29,11 @@
 ) -> Choice | Refusal:
     """Return what a request is sent to, or why there is nothing.
 
-    The best candidate is wanted even if its endpoint is at its limit, so that permits
-    are asked for; another one is taken meanwhile.
+    If the endpoint of the best candidate is at its limit, permits for it are requested,
+    and another candidate is used meanwhile.
 
     Args:
-        limits: What may be sent to endpoints that name limits.
+        limits: Limits that endpoints have named, and the permits for them.
         job: The request.
         candidates: What may be chosen.
         endpoint_of: Returns the endpoint that a candidate sends the request to.
@@ -55,5 +55,5 @@
 
 
 def is_no_route(found: Choice | Refusal) -> bool:
-    """Tell whether nothing could be chosen, whatever room there is."""
+    """Return whether no candidate could be chosen, regardless of room."""
     return isinstance(found, Refusal) and found.kind is ErrorKind.NO_ROUTE
--- a/packages/relay/src/lacewingcourse/relay/path_finder.py
+++ b/packages/relay/src/lacewingcourse/relay/path_finder.py
@@ -1,4 +1,4 @@
-"""Paths for requests, from what this entry believes at the moment."""
+"""Finds paths for requests from the local view of the fleet."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     from lacewingcourse.relay.connections import ConnectionPool
     from lacewingcourse.relay.job import Job
 
-#: Share of an endpoint's memory up to which the fleet counts as idle: a stream that is
-#: moved on a mere sign then takes nothing from others.
+#: Share of an endpoint's memory up to which it counts as idle. A stream that is moved
+#: on a mere suspicion then takes no room from other requests.
 IDLE_MEMORY_SHARE = 0.5
 
 
@@ -34,8 +34,8 @@
     """Finds paths.
 
     Attributes:
-        beliefs: What is believed of the endpoints.
-        rng: Source of draws.
+        beliefs: Local view of the endpoints.
+        rng: Source of random numbers.
         clock: Returns the present time in seconds.
         pool: Connections to endpoints, None if none are kept.
     """
@@ -54,14 +54,14 @@
     ) -> Path | Refusal:
         """Return the path that a request is sent on, or why there is none.
 
-        An answer that was begun goes on through endpoints that it had left, where no
-        others hold their layers: its caller cannot ask for it anew.
+        An answer that was started may use endpoints that it avoids where no others hold
+        their layers, because its caller cannot send the request again.
 
         Args:
             job: The request.
             shape: Figures of the service's engines.
-            demand: What it needs of a path.
-            besides: Endpoints to avoid besides those that it avoids anyway.
+            demand: Its demand on a path.
+            besides: Endpoints to avoid in addition to those that the request avoids.
         """
         share = CONTINUED_ROOM_SHARE if job.caller.response_started else ROOM_SHARE
         avoided = job.avoid.union(besides) if besides else job.avoid
@@ -71,7 +71,7 @@
         return found
 
     def is_idle(self, job: Job, avoid: Collection[str]) -> bool:
-        """Tell whether a path without some endpoints has much room for a request."""
+        """Return whether a path without some endpoints is idle enough for a request."""
         shape = self.beliefs.shape(job.service)
         if shape is None:
             return False
@@ -81,7 +81,7 @@
         return not isinstance(found, Refusal)
 
     def unused_address(self, addresses: Collection[str]) -> str | None:
-        """Return the address of an engine that is not among some, None without one."""
+        """Return the address of an engine outside a set, None if there is none."""
         endpoints = self.beliefs.fleet.endpoints.values()
         excluded = self.beliefs.suspects.excluded(self.clock())
         found = [
@@ -101,7 +101,7 @@
         avoid: Collection[str],
         share: float,
     ) -> Path | Refusal:
-        """Return one of the candidate paths, or why none is taken."""
+        """Return one of the candidate paths, or why none is usable."""
         now = self.clock()
         paths = self.beliefs.paths(job.service, shape, now)
         chooser = self.beliefs.chooser(shape)
@@ -120,7 +120,7 @@
 
 
 def demand_of(job: Job, shape: EngineShape) -> Demand:
-    """Return what a request is expected to need of a path."""
+    """Return the expected demand of a request on a path."""
     request = job.request
     answer = request.answer_hint or shape.usual_answer
     if request.most_answer:
--- a/packages/relay/tests/relay/test_clocks.py
+++ b/packages/relay/tests/relay/test_clocks.py
@@ -1,4 +1,4 @@
-"""Tests that the entry goes by clocks that nobody sets."""
+"""Tests that the entry does not read the wall clock."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 ROOT = Path(__file__).resolve().parents[4]
 #: Sources of the deployed entry.
 SOURCES = ("packages/relay/src", "platform/src", "packages/core/src")
-#: Calls that read the time of day, which may jump by seconds either way.
+#: Calls that read the wall clock, which may jump by seconds in either direction.
 WALL_CLOCK_CALLS = {("time", "time"), ("time", "time_ns"), ("datetime", "now")}
 
 
 def wall_clock_reads(path: Path) -> list[str]:
-    """Return where a source reads the time of day."""
+    """Return where a source file reads the wall clock."""
     return [
         f"{path.relative_to(ROOT)}:{node.lineno}"
         for node in ast.walk(ast.parse(path.read_text()))
--- a/packages/relay/tests/relay/test_path_finder.py
+++ b/packages/relay/tests/relay/test_path_finder.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def finder(shape, small):
-    """What finds paths over two holders of each of two layers."""
+    """A path finder over two holders of each of two layers."""
     beliefs = Beliefs()
     for name, layer in zip("abcd", (0, 0, 1, 1), strict=True):
         beliefs.fleet.put(small(name, layer))
@@ -27,13 +27,13 @@
 
 
 class HashableNamespace(SimpleNamespace):
-    """A request, told from others by its identity."""
+    """A request, hashable by identity."""
 
     __hash__ = object.__hash__
 
 
 def job_of(avoid=(), allowed=None):
-    """Return what the finder needs of a request."""
+    """Return what the path finder needs of a request."""
     caller = SimpleNamespace(response_started=False)
     request = SimpleNamespace(prompt=1_000, answer_hint=None, most_answer=0)
     return HashableNamespace(
@@ -47,7 +47,7 @@
 
 
 def fill(finder, *names):
-    """Take all memory of some endpoints."""
+    """Fill the memory of some endpoints."""
     for name in names:
         finder.beliefs.loads.from_peer(name, {name: Load(1, 0, 50_000.0)}, 0.0)
 
@@ -81,7 +81,7 @@
 
 
 def name_limits(finder, *names):
-    """Let endpoints name limits, without a permit at hand."""
+    """Let endpoints name limits, without granting permits."""
     for name in names:
         finder.beliefs.limits.observe(name, 2.0, 0.0, 0.0)
 
