--- a/packages/relay/tests/relay/conftest.py
+++ b/packages/relay/tests/relay/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of the relaying entry."""
+"""Shared fixtures of the relay tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def shape() -> EngineShape:
     """Figures of a model of two layers, of which an accelerator holds one.
 
-    Each has memory for 50,000 tokens in its layer.
+    Each accelerator has memory for 50,000 tokens in its layer.
     """
     return EngineShape(
         model="m",
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def small():
-    """Return a function that makes an endpoint which holds one of two layers."""
+    """Return a function that makes an endpoint that holds one of two layers."""
 
     def make(name: str, layer: int) -> Endpoint:
         return Endpoint(
--- a/packages/relay/tests/relay/routes.py
+++ b/packages/relay/tests/relay/routes.py
@@ -1,4 +1,4 @@
-"""Routes that the tests of requests share."""
+"""Routes shared by the tests."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     timeout: float = 20.0,
     objective: float = 0.5,
 ) -> Route:
-    """Return a route of one service, under its name.
+    """Return a route of one service, named after it.
 
     Args:
         service: The service.
-        retry_safety: What may be repeated.
+        retry_safety: Which requests may be repeated.
         attempts: Endpoints to which a request may be sent.
-        timeout: Seconds for which it may be kept waiting.
+        timeout: Time limit of a request in seconds.
         objective: Seconds in which an answer is wanted.
     """
     return Route(
