--- a/packages/relay/src/lacewingcourse/relay/calls.py
+++ b/packages/relay/src/lacewingcourse/relay/calls.py
@@ -85,24 +85,26 @@
     async def _serve(self, job: Job) -> WholeAnswer | Refusal:
         """Send a call until it is answered or cannot be sent again."""
         connect_failures = 0
-        last: WholeAnswer | None = None
+        last_answer: WholeAnswer | None = None
         while True:
             now = self.sender.clock()
             if now >= job.deadline:
-                return last or job.failure(ErrorKind.DEADLINE_EXCEEDED, None)
+                return last_answer or job.failure(ErrorKind.DEADLINE_EXCEEDED, None)
             endpoint = self._choose(job, now)
             if isinstance(endpoint, Refusal) and self._should_wait(job, endpoint, now):
                 await asyncio.sleep(RETRY_PERIOD)
                 continue
             if isinstance(endpoint, Refusal):
                 job.reason = job.reason or endpoint.reason
-                return last or job.failure(endpoint.kind, self._retry_after(endpoint))
+                return last_answer or job.failure(
+                    endpoint.kind, self._retry_after(endpoint)
+                )
             result = await self._attempt(job, endpoint)
             if isinstance(result, NotSent) and result.cause is Unsent.OVER_LIMIT:
                 continue
             if isinstance(result, NotSent) and result.cause in UNSENT_ERROR_KINDS:
                 job.reason = result.reason
-                return last or job.failure(
+                return last_answer or job.failure(
                     UNSENT_ERROR_KINDS[result.cause], CALL_RETRY_AFTER
                 )
             if isinstance(result, NotSent):
@@ -111,14 +113,16 @@
                 job.reason = result.reason
                 connect_failures += 1
                 if connect_failures >= MAX_CONNECT_FAILURES:
-                    return last or job.failure(ErrorKind.NO_ROUTE, CALL_RETRY_AFTER)
+                    return last_answer or job.failure(
+                        ErrorKind.NO_ROUTE, CALL_RETRY_AFTER
+                    )
                 continue
             job.avoid.add(endpoint.id)
             if isinstance(result, WholeAnswer):
                 if result.head.status < SERVER_ERROR or not job.may_try_another:
                     return result
                 job.record_outcome(SendOutcome.ANSWERED, f"status {result.head.status}")
-                last = result
+                last_answer = result
                 continue
             job.record_outcome(result.outcome, result.reason)
             self.log.lost(job, endpoint.id, result.reason)
--- a/packages/relay/src/lacewingcourse/relay/drain.py
+++ b/packages/relay/src/lacewingcourse/relay/drain.py
@@ -81,5 +81,5 @@
         """Return whether there is nothing left to wait for."""
         if now >= self.readiness.drain_deadline:
             return True
-        waited = now - self.readiness.drain_started_at
-        return waited > BALANCER_DELAY and not self.callers.open
+        elapsed = now - self.readiness.drain_started_at
+        return elapsed > BALANCER_DELAY and not self.callers.open
--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -267,11 +267,11 @@
         wait = max(refusal.retry_after, self._retry_after())
         return attrs.evolve(refusal, retry_after=wait)
 
-    def _log_last_request(self, job: Job, taken: bool, now: float) -> None:
+    def _log_last_request(self, job: Job, accepted: bool, now: float) -> None:
         """Log whether a request that arrived while this entry drains was accepted."""
         time = self.readiness.answer_time(job.route.name, now, job.deadline)
         self.log.last_request(
-            job.request, taken, time, self.readiness.drain_deadline - now
+            job.request, accepted, time, self.readiness.drain_deadline - now
         )
 
     def _retry_after(self) -> float:
--- a/packages/relay/src/lacewingcourse/relay/job.py
+++ b/packages/relay/src/lacewingcourse/relay/job.py
@@ -146,7 +146,7 @@
             and self.worst_outcome is not SendOutcome.MAY_HAVE_RUN
         )
 
-    def record_event(self, now: float) -> None:
+    def record_events(self, now: float) -> None:
         """Record that an event was passed on."""
         self.events += 1
         if self.first_event_at is None:
--- a/packages/relay/src/lacewingcourse/relay/stream_run.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_run.py
@@ -165,7 +165,7 @@
             return
         now = self.sender.clock()
         self.state.quiet_since = now
-        self.job.record_event(now)
+        self.job.record_events(now)
         self.stalls.progress(self.job, now)
         if self.job.caller.response_started:
             self.job.caller.write(events)
--- a/packages/relay/tests/relay/rolling_restart.py
+++ b/packages/relay/tests/relay/rolling_restart.py
@@ -107,7 +107,7 @@
     clock = asyncio.get_running_loop().time
     for _ in range(job.caller.events):
         await asyncio.sleep(INTERVAL)
-        job.record_event(clock())
+        job.record_events(clock())
     job.caller.end()
 
 
--- a/packages/relay/tests/relay/test_admission.py
+++ b/packages/relay/tests/relay/test_admission.py
@@ -64,12 +64,12 @@
 
 
 @pytest.mark.parametrize(
-    ("objective", "gap", "leaves_after"),
+    ("objective", "gap", "caller_patience"),
     [(0.5, 0.2, 2.0), (0.503, 0.25, 2.012), (0.603, 0.3, 2.412), (0.1, 0.5, 4.0)],
 )
-def test_broken_stream_waits_longer_than_its_caller(objective, gap, leaves_after):
+def test_broken_stream_waits_longer_than_its_caller(objective, gap, caller_patience):
     """With one wait for all routes, callers that kept reading were cut off."""
-    assert continued_wait(objective, gap) > leaves_after
+    assert continued_wait(objective, gap) > caller_patience
 
 
 def test_path_that_becomes_available_is_used(monkeypatch):
--- a/packages/relay/tests/relay/test_caller.py
+++ b/packages/relay/tests/relay/test_caller.py
@@ -223,15 +223,15 @@
     run(test)
 
 
-@pytest.mark.parametrize("leaves", [False, True])
-def test_http_1_0_caller_gets_the_connection_header(leaves):
+@pytest.mark.parametrize("draining", [False, True])
+def test_http_1_0_caller_gets_the_connection_header(draining):
     async def test():
-        async with serving(echo, close_after_answer=lambda: leaves) as address:
+        async with serving(echo, close_after_answer=lambda: draining) as address:
             reader, writer = await asyncio.open_connection(*address)
             writer.write(b"GET /0 HTTP/1.0\r\nConnection: keep-alive\r\n\r\n")
             head, body = await read_answer(reader)
             assert body == b"/0"
-            if leaves:
+            if draining:
                 assert b"Connection: close" in head
                 assert await reader.read() == b""
                 return
@@ -260,7 +260,7 @@
     run(test)
 
 
-def make_gateway(fails, errors):
+def make_gateway(fail, errors):
     """Return a gateway whose forwarder of streams raises an exception."""
     route = SimpleNamespace(name="rooms", timeout=9.0, service_for=lambda name: "rooms")
     table = SimpleNamespace(
@@ -289,7 +289,7 @@
         SimpleNamespace(
             budget=SimpleNamespace(on_request=lambda service, now: None),
         ),
-        SimpleNamespace(serve=fails),
+        SimpleNamespace(serve=fail),
         SimpleNamespace(accepts=lambda *request: True, draining=False),
         SimpleNamespace(failed=errors.append),
         asyncio.get_running_loop().time,
@@ -298,20 +298,20 @@
     )
 
 
-@pytest.mark.parametrize("begun", [False, True])
-def test_exception_in_a_handler_ends_the_answer(begun):
-    async def fails(job, shape):
-        if begun:
+@pytest.mark.parametrize("started", [False, True])
+def test_exception_in_a_handler_ends_the_answer(started):
+    async def fail(job, shape):
+        if started:
             job.caller.begin(200, HTTPHeaders(), b"some")
         raise ValueError("a defect")
 
     async def test():
         errors = []
-        entry = make_gateway(fails, errors)
+        entry = make_gateway(fail, errors)
         async with serving(entry.serve) as address:
             reader, writer = await asyncio.open_connection(*address)
             writer.write(REQUEST % 0)
-            if begun:
+            if started:
                 assert (await reader.read()).endswith(b"4\r\nsome\r\n")
             else:
                 head, _ = await read_answer(reader)
@@ -367,14 +367,14 @@
 )
 
 
-async def receive_answer(answer: bytes, resets: bool) -> tuple[bytes, End]:
+async def receive_answer(answer: bytes, reset: bool) -> tuple[bytes, End]:
     """Return body and end of what an engine answers before it closes."""
 
     async def engine(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(answer)
         await writer.drain()
-        if resets:
+        if reset:
             # The data must have been read before the reset discards it.
             await asyncio.wait_for(read.wait(), TIMEOUT)
             option = struct.pack("ii", 1, 0)
@@ -400,7 +400,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "resets", "whole"),
+    ("answer", "reset", "complete"),
     [
         (OWN_HEAD + b"Content-Length: 4\r\n\r\nsome", False, True),
         (OWN_HEAD + b"Content-Length: 9\r\n\r\nsome", False, False),
@@ -430,12 +430,12 @@
         "nothing",
     ],
 )
-def test_completeness_of_an_engines_answer(answer, resets, whole):
+def test_completeness_of_an_engines_answer(answer, reset, complete):
     async def test():
-        body, end = await receive_answer(answer, resets)
-        assert end.complete is whole
+        body, end = await receive_answer(answer, reset)
+        assert end.complete is complete
         assert b"for" not in body
-        if whole:
+        if complete:
             assert body == b"some"
 
     run(test)
--- a/packages/relay/tests/relay/test_drain.py
+++ b/packages/relay/tests/relay/test_drain.py
@@ -85,11 +85,11 @@
 def test_unsent_request_gets_503_with_retry_after_at_the_drain_deadline():
     log = LogRecorder()
 
-    async def waits(job, shape):
+    async def wait_forever(job, shape):
         await asyncio.Event().wait()
 
     async def test():
-        entry = entry_with(waits, log)
+        entry = entry_with(wait_forever, log)
         async with serving_connections(entry.serve) as (address, connections):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(REQUEST % 0)
@@ -103,34 +103,34 @@
     run(test)
 
 
-@pytest.mark.parametrize("begun", [False, True])
-def test_exchange_with_the_endpoint_is_abandoned_at_the_drain_deadline(begun):
+@pytest.mark.parametrize("started", [False, True])
+def test_exchange_with_the_endpoint_is_abandoned_at_the_drain_deadline(started):
     log = LogRecorder()
-    sent = EndlessExchange()
+    exchange = EndlessExchange()
 
-    async def sends(job, shape):
-        job.current_exchange = sent
+    async def send_and_wait_forever(job, shape):
+        job.current_exchange = exchange
         try:
-            if begun:
+            if started:
                 job.caller.begin(200, HTTPHeaders(), b"some")
             await asyncio.Event().wait()
         finally:
             job.current_exchange = None
 
     async def test():
-        entry = entry_with(sends, log)
+        entry = entry_with(send_and_wait_forever, log)
         async with serving_connections(entry.serve) as (address, connections):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(REQUEST % 0)
             await drain(entry, connections)
-            if begun:
+            if started:
                 assert (await reader.read()).endswith(b"4\r\nsome\r\n")
             else:
                 head, _ = await read_answer(reader)
                 assert head.startswith(b"HTTP/1.1 502")
                 assert b"Retry-After" not in head
-        assert sent.abandoned
-        assert log.events == ["broken_off" if begun else "refused"]
+        assert exchange.abandoned
+        assert log.events == ["broken_off" if started else "refused"]
 
     run(test)
 
@@ -197,8 +197,8 @@
         exchange.answer(200, HTTPHeaders(), b"x" * size)
 
     async def test():
-        leaving = serving_connections(large, close_after_answer=lambda: True)
-        async with leaving as (address, connections):
+        server = serving_connections(large, close_after_answer=lambda: True)
+        async with server as (address, connections):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(REQUEST % 0 + REQUEST % 1)
             await reader.readuntil(b"\r\n\r\n")
@@ -209,21 +209,21 @@
     run(test)
 
 
-@pytest.mark.parametrize("begun", [False, True])
-def test_exception_while_aborting_one_request_does_not_affect_others(begun):
+@pytest.mark.parametrize("started", [False, True])
+def test_exception_while_aborting_one_request_does_not_affect_others(started):
     log = LogRecorder()
 
-    async def waits(job, shape):
-        if begun:
+    async def wait_forever(job, shape):
+        if started:
             job.caller.begin(200, HTTPHeaders(), b"some")
         await asyncio.Event().wait()
 
     async def test():
-        entry = entry_with(waits, log)
+        entry = entry_with(wait_forever, log)
         entry.codec.refusal = failing_once(refusal, log)
         log.broken_off = failing_once(lambda *args: log.events.append("end"), log)
-        leaving = serving_connections(entry.serve, close_after_answer=lambda: True)
-        async with leaving as (address, connections):
+        server = serving_connections(entry.serve, close_after_answer=lambda: True)
+        async with server as (address, connections):
             callers = [await asyncio.open_connection(*address) for _ in range(3)]
             for _, writer in callers:
                 writer.write(REQUEST % 0)
@@ -232,7 +232,7 @@
             await drain(entry, connections)
             assert not connections.open
             ends = sorted([await reader.read() for reader, _ in callers])
-        if begun:
+        if started:
             assert all(end.endswith(b"4\r\nsome\r\n") for end in ends)
             assert log.events == ["raised", "failed", "end", "end"]
         else:
--- a/packages/relay/tests/relay/test_drain_races.py
+++ b/packages/relay/tests/relay/test_drain_races.py
@@ -161,14 +161,14 @@
     run(test)
 
 
-@pytest.mark.parametrize("begun", [b"", b"POST / HTTP/1.1\r\nHost:"])
-def test_drained_entry_closes_idle_connections(make_entry, begun):
+@pytest.mark.parametrize("partial_head", [b"", b"POST / HTTP/1.1\r\nHost:"])
+def test_drained_entry_closes_idle_connections(make_entry, partial_head):
     """A caller whose request gets no answer here may send it to another entry."""
 
     async def test():
         entry = make_entry()
         caller = await entry.connect_idle()
-        caller.sendall(begun)
+        caller.sendall(partial_head)
         await entry.end(lambda: None)
         assert entry.server.connections == set()
         assert read_all(caller) == b""
--- a/packages/relay/tests/relay/test_path_finder.py
+++ b/packages/relay/tests/relay/test_path_finder.py
@@ -62,14 +62,14 @@
     assert isinstance(finder.find(job_of(allowed={"b"}), shape, DEMAND), Refusal)
 
 
-@pytest.mark.parametrize(("begun", "goes_on"), [(True, True), (False, False)])
+@pytest.mark.parametrize(("started", "has_path"), [(True, True), (False, False)])
 def test_started_answer_may_use_avoided_endpoints_when_no_others_hold_the_layers(
-    finder, shape, begun, goes_on
+    finder, shape, started, has_path
 ):
     job = job_of(avoid="cd")
-    job.caller.response_started = begun
+    job.caller.response_started = started
     found = finder.find(job, shape, DEMAND)
-    assert isinstance(found, Refusal) is not goes_on
+    assert isinstance(found, Refusal) is not has_path
     assert isinstance(finder.find(job, shape, DEMAND, besides="cd"), Refusal)
 
 
--- a/packages/relay/tests/relay/test_requests_while_draining.py
+++ b/packages/relay/tests/relay/test_requests_while_draining.py
@@ -123,7 +123,7 @@
     clock = asyncio.get_running_loop().time
     for _ in range(job.caller.events):
         await asyncio.sleep(job.caller.interval())
-        job.record_event(clock())
+        job.record_events(clock())
     job.caller.end()
 
 
@@ -197,10 +197,10 @@
     entry.call(MAX_EVENTS)
     await asyncio.sleep(INTERVAL)
     entry.gateway.readiness.start_drain(clock())
-    ending = asyncio.ensure_future(entry.drainer.run())
+    drain_task = asyncio.ensure_future(entry.drainer.run())
     await asyncio.sleep(after)
     caller = entry.call(MAX_EVENTS, patience=patience)
-    await ending
+    await drain_task
     return caller
 
 
@@ -288,13 +288,13 @@
         draining_entry = entry(DEFAULT_POLICY)
         await draining_entry.serve_usual_answers()
         draining_entry.gateway.readiness.start_drain(asyncio.get_running_loop().time())
-        ending = asyncio.ensure_future(draining_entry.drainer.run())
+        drain_task = asyncio.ensure_future(draining_entry.drainer.run())
         draining_entry.call(MAX_EVENTS)
         await asyncio.sleep(after)
         caller = draining_entry.call(events, max_events=events)
         await asyncio.sleep(0.2)
         draining_entry.slowdown = slowdown
-        await ending
+        await drain_task
         assert not caller.aborted
 
     play(test())
--- a/packages/relay/tests/relay/test_restart_estimate.py
+++ b/packages/relay/tests/relay/test_restart_estimate.py
@@ -146,15 +146,15 @@
         for name in rolling_restart.names:
             rolling_restart.start(name)
         await asyncio.sleep(1.0)
-        ending = rolling_restart.processes["entry-1"]
-        ending.gateway.readiness.start_drain(rolling_restart.clock())
+        draining = rolling_restart.processes["entry-1"]
+        draining.gateway.readiness.start_drain(rolling_restart.clock())
         await asyncio.sleep(0.5)
         end = 1.0 + BALANCER_DELAY
         assert expected_ends(rolling_restart, "entry-1") == pytest.approx(
             [end, end], abs=0.02
         )
         end = rolling_restart.clock() + INTERVAL + MAX_EVENTS * INTERVAL
-        ending.call(MAX_EVENTS)
+        draining.call(MAX_EVENTS)
         await asyncio.sleep(0.5)
         assert expected_ends(rolling_restart, "entry-1") == pytest.approx(
             [end, end], abs=0.1
--- a/packages/relay/tests/relay/test_sigterm.py
+++ b/packages/relay/tests/relay/test_sigterm.py
@@ -38,7 +38,7 @@
             ),
             log=LogRecorder(),
             started=[],
-            told=[],
+            notified=[],
             configuration=SimpleNamespace(
                 freshness=SimpleNamespace(expire=lambda: None)
             ),
@@ -49,7 +49,7 @@
         )
         entry._leave = lambda: "drain"
         entry._start = entry.started.append
-        entry._tell_peers = lambda: entry.told.append(entry.readiness.draining)
+        entry._tell_peers = lambda: entry.notified.append(entry.readiness.draining)
         return entry
 
     return make
@@ -64,7 +64,7 @@
 def test_peers_are_notified_of_the_drain_at_once(make_application):
     entry = make_application()
     Application._on_term(entry)
-    assert entry.told == [True]
+    assert entry.notified == [True]
 
 
 def test_exception_while_logging_the_drain_does_not_prevent_it(
@@ -80,36 +80,36 @@
     assert entry.started == ["drain"]
 
 
-@pytest.mark.parametrize(("leaves", "counted"), [(True, 2.0), (False, 0.0)])
+@pytest.mark.parametrize(("draining", "counted"), [(True, 2.0), (False, 0.0)])
 def test_suspended_time_counts_towards_the_drain_deadline(
-    make_application, leaves, counted
+    make_application, draining, counted
 ):
     entry = make_application()
-    if leaves:
+    if draining:
         Application._on_term(entry)
     last = entry.readiness.drain_deadline
     Application._on_thaw(entry, 2.0)
     assert entry.readiness.drain_deadline == pytest.approx(last - counted)
 
 
-@pytest.mark.parametrize("leaves", [True, False])
+@pytest.mark.parametrize("draining", [True, False])
 @pytest.mark.parametrize("kind", [ErrorKind.OVERLOADED, ErrorKind.RETRIES_EXHAUSTED])
-def test_retry_after_is_raised_while_every_entry_drains(kind, leaves):
-    async def lacks(job, shape):
+def test_retry_after_is_raised_while_every_entry_drains(kind, draining):
+    async def refuse(job, shape):
         return Refusal(kind, "no path has memory", retry_after=0.5)
 
     async def test():
-        entry = entry_with(lacks, LogRecorder())
+        entry = entry_with(refuse, LogRecorder())
         entry.ready_in = lambda: READY_IN
         entry.readiness = Readiness(Beliefs(), GRACE)
-        if leaves:
+        if draining:
             entry.readiness.start_drain(entry.clock())
         async with serving_connections(entry.serve) as (address, _):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(REQUEST % 0)
             head, _ = await read_answer(reader)
-        told = READY_IN if leaves else 0.5
+        expected = READY_IN if draining else 0.5
         assert head.startswith(b"HTTP/1.1 503")
-        assert f"Retry-After: {told}\r\n".encode() in head
+        assert f"Retry-After: {expected}\r\n".encode() in head
 
     run(test)
