--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -282,7 +282,7 @@
         return wait + self.rng.uniform(0.0, RETRY_JITTER)
 
     def _awaited_entry(self, refusal: Refusal) -> str:
-        """Return what the caller of a refused request waits for, empty for nothing."""
+        """Return which entry the caller of a refused request waits for, or empty."""
         waits = refusal.kind is ErrorKind.DRAINING and refusal.retry_after is not None
         return self.waits_for() if waits else ""
 
--- a/packages/relay/src/lacewingcourse/relay/job.py
+++ b/packages/relay/src/lacewingcourse/relay/job.py
@@ -59,7 +59,7 @@
         longest_gap: Longest time between two events passed on, seconds.
         last_event_at: When the last event was passed on, seconds.
         waited: Seconds for which it waited for room on paths.
-        events: Number of events passed on.
+        events: Number of times that events were passed on.
         watched: State of its stall detection, None if it is not watched.
         accepts: Returns whether a draining entry accepts it at a given time in seconds.
     """
@@ -147,7 +147,7 @@
         )
 
     def record_events(self, now: float) -> None:
-        """Record that an event was passed on."""
+        """Record that events were passed on."""
         self.events += 1
         if self.first_event_at is None:
             self.first_event_at = now
--- a/packages/relay/src/lacewingcourse/relay/restart_estimate.py
+++ b/packages/relay/src/lacewingcourse/relay/restart_estimate.py
@@ -80,7 +80,7 @@
             return 0.0
         job = self.gateway.jobs.get(caller)
         if job is None:
-            # A request that was received whole but has no job is being routed.
+            # A request that was received completely but has no job is being routed.
             is_received = caller in self.gateway.serving
             return 0.0 if is_received else UNKNOWN_REMAINING
         return min(self._expected_remaining(job, now), job.deadline - now)
--- a/packages/relay/tests/relay/test_caller.py
+++ b/packages/relay/tests/relay/test_caller.py
@@ -442,7 +442,7 @@
 
 
 def test_address_without_a_reusable_connection_is_not_idle():
-    """Path selection prefers first engines to which idle connections are kept."""
+    """Path selection prefers paths to whose first engine an idle connection is kept."""
     closed = []
     stream = SimpleNamespace(clean=False, close=lambda: closed.append(True))
     pool = ConnectionPool()
