--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -37,8 +37,8 @@
 #: connection goes to another one. While every entry drains, the time until the first is
 #: back is used instead.
 DRAINING_RETRY_AFTER = 0.05
-#: Greatest jitter in seconds that is added to that time, so that callers refused
-#: together do not return together.
+#: Greatest jitter in seconds that is added to the time until the first entry is back,
+#: so that callers refused together do not return together.
 RETRY_JITTER = 0.5
 #: Reason of a request that a draining entry refuses or aborts.
 DRAINING_REASON = Unsent.LEAVING.value
