--- a/packages/relay/tests/relay/test_readiness.py
+++ b/packages/relay/tests/relay/test_readiness.py
@@ -77,11 +77,11 @@
     assert not accepts(draining, ROOMS, 17.0)
 
 
-@pytest.mark.parametrize("choice", [take_expected, take_limited, take_until_redirected])
+@pytest.mark.parametrize("policy", [take_expected, take_limited, take_until_redirected])
 def test_request_with_deadline_before_the_drain_deadline_is_always_accepted(
-    draining, choice
+    draining, policy
 ):
-    draining.accept_policy = choice
+    draining.accept_policy = policy
     end = 10.0 + GRACE - SHUTDOWN_MARGIN
     assert accepts(draining, ROOMS, end - 0.6, deadline=end)
     assert not accepts(draining, ROOMS, end - 0.5, deadline=end + 0.1)
