--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -213,7 +213,7 @@
             self.log,
             self.clock,
             self._rank,
-            lambda: self.readiness.leaving,
+            lambda: self.readiness.draining,
         )
         self.placement = PlacementDuty(
             self.holder,
@@ -235,7 +235,7 @@
             self.readiness,
             self.log,
             self.clock,
-            self.ingress.endings.ends_in,
+            self.ingress.restart_estimator.ends_in,
             self.boot_clock,
         )
         self.peers = PeerExchange(
@@ -266,7 +266,7 @@
             rng,
             self.log,
             self.metrics.unreadable_messages.inc,
-            lambda: self.readiness.leaving,
+            lambda: self.readiness.draining,
         )
         send_limits.on_demand = self.permits.schedule_check
         send_limits.on_decrease = self._tell_peers
@@ -296,9 +296,9 @@
     async def run(self) -> None:
         """Serve until the request to end has been carried out."""
         if self._front is None:
-            self._listen(self.ingress.front, self.settings.front)
+            self._listen(self.ingress.server, self.settings.front)
         else:
-            self.ingress.front.add_socket(self._front)
+            self.ingress.server.add_socket(self._front)
         self._listen(self.ready, self.settings.ready)
         if self.settings.peers:
             self._listen(self.peer_server, self.settings.peers)
@@ -377,7 +377,7 @@
     def _on_configuration(self) -> None:
         """Apply the limits of a version that has come into force, and tell it."""
         self._tell_peers()
-        self.ingress.put_in_force(self.routing_state.table.limits)
+        self.ingress.apply_limits(self.routing_state.table.limits)
 
     def _on_lag(self, late: float, section: Section) -> None:
         """Tell that the loop stood still, and what ran meanwhile."""
@@ -396,16 +396,16 @@
         self.holder.lease = None
         self.budget.drop_loans()
         self.routing_state.send_limits.sharing.clear()
-        self.readiness.suspended(slept)
+        self.readiness.add_suspended_time(slept)
 
     def _on_term(self) -> None:
-        if self.readiness.leaving:
+        if self.readiness.draining:
             return
         # The grace time runs while a loop that is held up has not noticed the signal.
-        self.ingress.leave(self.watch.previous_look)
+        self.ingress.start_drain(self.watch.previous_look)
         self._start(self._leave())
         self._tell_peers()
-        self.ingress.tell_leaving()
+        self.ingress.log_drain_start()
 
     def _apply(self, settings: RelaySettings) -> None:
         """Put in force what may change in the life of a process."""
@@ -428,6 +428,6 @@
     async def _leave(self) -> None:
         """End when the callers' requests have their ends, or cannot get them."""
         try:
-            await self.ingress.departure.carry_out()
+            await self.ingress.drainer.run()
         finally:
             self.ended.set()
--- a/packages/relay/src/lacewingcourse/relay/calls.py
+++ b/packages/relay/src/lacewingcourse/relay/calls.py
@@ -1,4 +1,4 @@
-"""Forwarding of calls to plain services."""
+"""Forwards calls to plain services."""
 
 from __future__ import annotations
 
@@ -39,18 +39,19 @@
     from lacewingcourse.relay.routing_state import RoutingState
     from lacewingcourse.relay.upstream import Exchange
 
-#: Connections that may fail to be made for one request before it is refused.
-MOST_NOT_SENT = 3
-#: Objectives after which an idempotent call is tried at another endpoint.
+#: Failed connection attempts after which a call is refused.
+MAX_CONNECT_FAILURES = 3
+#: Multiple of the route's objective after which an idempotent call is tried at another
+#: endpoint.
 PATIENCE_OBJECTIVES = 2.5
-#: How a call ends that was not sent for a reason which lies with no endpoint.
-UNSENT_ENDS = {
+#: Error kind of a call that was not sent for a reason unrelated to the endpoint.
+UNSENT_ERROR_KINDS = {
     Unsent.OVERDUE: ErrorKind.DEADLINE_EXCEEDED,
     Unsent.NO_DESCRIPTOR: ErrorKind.OVERLOADED,
     Unsent.LEAVING: ErrorKind.DRAINING,
     Unsent.NO_RETRY: ErrorKind.RETRIES_EXHAUSTED,
 }
-#: Seconds after which a refused call is worth trying again.
+#: `Retry-After` of a refused call in seconds.
 CALL_RETRY_AFTER = 0.3
 
 
@@ -59,12 +60,12 @@
     """Sends calls to endpoints of plain services.
 
     Attributes:
-        routing_state: What is believed of the endpoints.
-        sender: What sends.
-        budget: Repeats that are left.
+        routing_state: Local view of the endpoints.
+        sender: Sends requests.
+        budget: Retry budget.
         zone: Availability zone of this entry.
-        rng: Source of draws.
-        log: Log of decisions.
+        rng: Source of random numbers.
+        log: Decision log.
     """
 
     routing_state: RoutingState
@@ -75,7 +76,7 @@
     log: DecisionLog
 
     async def serve(self, job: Job) -> WholeAnswer | Refusal:
-        """Return an endpoint's answer to a call, or how it ends without one."""
+        """Return an endpoint's answer to a call, or the refusal if it has none."""
         try:
             return await self._serve(job)
         finally:
@@ -83,41 +84,47 @@
 
     async def _serve(self, job: Job) -> WholeAnswer | Refusal:
         """Send a call until it is answered or cannot be sent again."""
-        unsent = 0
-        last: WholeAnswer | None = None
+        connect_failures = 0
+        last_answer: WholeAnswer | None = None
         while True:
             now = self.sender.clock()
-            if now >= job.until:
-                return last or job.failure(ErrorKind.DEADLINE_EXCEEDED, None)
+            if now >= job.deadline:
+                return last_answer or job.failure(ErrorKind.DEADLINE_EXCEEDED, None)
             endpoint = self._choose(job, now)
-            if isinstance(endpoint, Refusal) and self._waits(job, endpoint, now):
+            if isinstance(endpoint, Refusal) and self._should_wait(job, endpoint, now):
                 await asyncio.sleep(RETRY_PERIOD)
                 continue
             if isinstance(endpoint, Refusal):
                 job.reason = job.reason or endpoint.reason
-                return last or job.failure(endpoint.kind, self._retry_after(endpoint))
+                return last_answer or job.failure(
+                    endpoint.kind, self._retry_after(endpoint)
+                )
             result = await self._attempt(job, endpoint)
             if isinstance(result, NotSent) and result.cause is Unsent.OVER_LIMIT:
                 continue
-            if isinstance(result, NotSent) and result.cause in UNSENT_ENDS:
+            if isinstance(result, NotSent) and result.cause in UNSENT_ERROR_KINDS:
                 job.reason = result.reason
-                return last or job.failure(UNSENT_ENDS[result.cause], CALL_RETRY_AFTER)
+                return last_answer or job.failure(
+                    UNSENT_ERROR_KINDS[result.cause], CALL_RETRY_AFTER
+                )
             if isinstance(result, NotSent):
                 self.routing_state.suspects.suspect(endpoint.id, result.reason, now)
                 job.avoid.add(endpoint.id)
                 job.reason = result.reason
-                unsent += 1
-                if unsent >= MOST_NOT_SENT:
-                    return last or job.failure(ErrorKind.NO_ROUTE, CALL_RETRY_AFTER)
+                connect_failures += 1
+                if connect_failures >= MAX_CONNECT_FAILURES:
+                    return last_answer or job.failure(
+                        ErrorKind.NO_ROUTE, CALL_RETRY_AFTER
+                    )
                 continue
             job.avoid.add(endpoint.id)
             if isinstance(result, WholeAnswer):
                 if result.head.status < SERVER_ERROR or not job.may_try_another:
                     return result
-                job.note(SendOutcome.ANSWERED, f"status {result.head.status}")
-                last = result
+                job.record_outcome(SendOutcome.ANSWERED, f"status {result.head.status}")
+                last_answer = result
                 continue
-            job.note(result.outcome, result.reason)
+            job.record_outcome(result.outcome, result.reason)
             self.log.lost(job, endpoint.id, result.reason)
             if result.connection_lost:
                 now = self.sender.clock()
@@ -125,13 +132,13 @@
                     job.fingerprint, endpoint.id, now
                 )
             if not job.may_try_another:
-                return self._failed(job, result)
+                return self._failure(job, result)
 
-    def _waits(self, job: Job, refusal: Refusal, now: float) -> bool:
-        """Tell whether a call that found no endpoint may find one in a moment."""
+    def _should_wait(self, job: Job, refusal: Refusal, now: float) -> bool:
+        """Return whether a call without an endpoint may find one a moment later."""
         if refusal.kind is ErrorKind.DRAINING:
             return False
-        if job.sends or job.avoid or job.caller.gone:
+        if job.sends or job.avoid or job.caller.disconnected:
             return False
         next_at = now + (refusal.retry_after or 0.0)
         return next_at < wait_in_time(job.request.received_at, job.route.objective)
@@ -141,14 +148,14 @@
     ) -> Endpoint | Refusal:
         """Return the endpoint that a call may be sent to now, or why there is none.
 
-        The call holds the retry and the place under a limit that the send needs.
+        The call then holds the retry and the permit under a limit that the send needs.
 
         Args:
             job: The call.
             now: Present time in seconds.
-            besides: Endpoints to avoid besides those that it avoids anyway.
+            besides: Endpoints to avoid in addition to those that the call avoids.
         """
-        refusal = job.refused_at(now)
+        refusal = job.drain_refusal(now)
         if refusal is not None:
             return refusal
         if job.sends and not self.budget.hold(job.service, job, now, reserved=False):
@@ -172,7 +179,7 @@
         avoided: Collection[str],
         now: float,
     ) -> Endpoint | Refusal:
-        """Return one of some endpoints that may be sent a call now, or why none may."""
+        """Return which of some endpoints a call may be sent to now, or why none."""
         limits, loads = self.routing_state.send_limits, self.routing_state.loads
 
         def choose(among: list[Endpoint]) -> Endpoint | Refusal:
@@ -183,7 +190,7 @@
         )
 
     def _retry_after(self, refusal: Refusal) -> float:
-        """Return the seconds after which the caller of a refused call comes back."""
+        """Return the `Retry-After` of a refused call in seconds."""
         if refusal.retry_after is None:
             return CALL_RETRY_AFTER
         wait = retry_after_limit(refusal.retry_after, self.rng.random())
@@ -192,27 +199,27 @@
     async def _attempt(
         self, job: Job, endpoint: Endpoint
     ) -> WholeAnswer | NoAnswer | NotSent:
-        """Return an endpoint's answer, or what became of the call there."""
+        """Return an endpoint's answer to a call, or why there is none."""
         self.routing_state.loads.begin_call(endpoint.id)
         try:
             fresh = not job.route.retry_safety.may_retry
-            result = await self._ask(job, endpoint, fresh)
+            result = await self._send(job, endpoint, fresh)
             if not isinstance(result, NoAnswer) or not result.dropped:
                 return result
-            # Endpoints drop kept connections without notice; it is no lost run.
+            # Endpoints drop idle connections without notice; this is not a lost run.
             self.sender.pool.close_idle(endpoint.address)
             job.sends -= 1
-            job.note(result.outcome, result.reason)
-            again = await self._ask(job, endpoint, fresh=True)
+            job.record_outcome(result.outcome, result.reason)
+            again = await self._send(job, endpoint, fresh=True)
             if isinstance(again, NotSent) and again.cause is Unsent.UNREACHABLE:
-                # It is gone, perhaps under this call.
+                # The endpoint is gone, perhaps while it ran this call.
                 job.sends += 1
                 return result
             return again
         finally:
             self.routing_state.loads.end_call(endpoint.id)
 
-    async def _ask(
+    async def _send(
         self, job: Job, endpoint: Endpoint, fresh: bool
     ) -> WholeAnswer | NoAnswer | NotSent:
         """Send a call to an endpoint and read its answer.
@@ -230,56 +237,56 @@
         if isinstance(sent, NotSent):
             return sent
         job.sends += 1
-        job.firsts.add(endpoint.id)
-        job.current = sent
+        job.sent_to.add(endpoint.id)
+        job.current_exchange = sent
         age = now - self.routing_state.fleet.known_at
         limit = self.routing_state.limits.named(endpoint.id)
         self.log.sent(job, endpoint.id, age, 0.0, limit)
-        if job.caller.gone:
-            job.caller_gone()
+        if job.caller.disconnected:
+            job.on_caller_disconnect()
         try:
             return await self._read(job, endpoint, sent, now)
         except BaseException:
-            # The endpoint must not work on for a caller whose answer has ended.
+            # The endpoint must not keep working for a caller whose answer has ended.
             sent.abandon()
             raise
         finally:
-            job.current = None
+            job.current_exchange = None
 
     async def _read(
         self, job: Job, endpoint: Endpoint, exchange: Exchange, sent_at: float
     ) -> WholeAnswer | NoAnswer:
-        """Return an endpoint's answer, or how it was left.
+        """Return an endpoint's answer, or why it was abandoned.
 
-        A slow endpoint is left only for another one that may be asked: closed first,
-        an answer that would have come in time is lost where there is none.
+        A slow endpoint is abandoned only if another one may be sent the call: closing
+        its exchange first would lose an answer that may still come in time.
         """
         reader = AnswerReader(self.sender, exchange, job.request, sent_at)
-        answer = await reader.read(self._patience(job, sent_at))
+        answer = await reader.read(self._answer_timeout_at(job, sent_at))
         while answer is None:
             now = self.sender.clock()
-            if now >= job.until:
+            if now >= job.deadline:
                 return reader.abandon("no answer in time", timed_out=True)
-            if self._may_leave(job, endpoint, now):
+            if self._may_switch(job, endpoint, now):
                 return reader.abandon("no answer yet, and another one may give it")
-            answer = await reader.read(min(job.until, now + RETRY_PERIOD))
+            answer = await reader.read(min(job.deadline, now + RETRY_PERIOD))
         return answer
 
-    def _may_leave(self, job: Job, endpoint: Endpoint, now: float) -> bool:
-        """Tell whether another endpoint may be asked in place of a slow one."""
+    def _may_switch(self, job: Job, endpoint: Endpoint, now: float) -> bool:
+        """Return whether another endpoint may be sent the call instead."""
         if not job.may_try_another:
             return False
         other = self._choose(job, now, besides=(endpoint.id,))
         return not isinstance(other, Refusal)
 
-    def _patience(self, job: Job, now: float) -> float:
-        """Return until when an endpoint is waited for before another one is tried."""
+    def _answer_timeout_at(self, job: Job, now: float) -> float:
+        """Return the time until which to wait before another endpoint is tried."""
         if not job.route.retry_safety.may_retry or not job.may_try_another:
-            return job.until
+            return job.deadline
         patience = max(0.1, PATIENCE_OBJECTIVES * job.route.objective)
-        return min(job.until, now + patience)
+        return min(job.deadline, now + patience)
 
-    def _failed(self, job: Job, result: NoAnswer) -> Refusal:
+    def _failure(self, job: Job, result: NoAnswer) -> Refusal:
         if result.timed_out:
             return job.failure(ErrorKind.DEADLINE_EXCEEDED, None)
         if result.outcome is SendOutcome.REJECTED:
--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -1,4 +1,4 @@
-"""What callers meet: each request is routed, forwarded and answered here."""
+"""Routes, forwards and answers the requests of callers."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
     from lacewingcourse.relay.routing_state import RoutingState
     from lacewingcourse.relay.streams import StreamForwarder
 
-#: Seconds for which a request waits for the first configuration. An entry listens
-#: tens of milliseconds before it has one; after a restart of all entries the callers
-#: that come then have no further try.
+#: Seconds for which a request waits for the first configuration. An entry listens tens
+#: of milliseconds before it has one, and after a restart of all entries the callers
+#: that arrive then have no further retry.
 FIRST_CONFIGURATION_WAIT = 0.8
-#: Seconds after which a caller may try an entry again that knows no configuration.
-NOT_READY_RETRY = 0.5
-#: Seconds after which a caller may try again that met an entry about to end while
-#: others serve; its next connection goes to another one. While every entry is ending,
-#: the time is that until the first is back.
-LEAVING_RETRY = 0.05
-#: Seconds by which that time is spread, so that those refused together do not return
-#: together.
-RETRY_SPREAD = 0.5
-#: Why a request is refused or cut short by an entry that leaves.
-LEAVING = Unsent.LEAVING.value
+#: `Retry-After` in seconds of an entry that has no configuration.
+NOT_READY_RETRY_AFTER = 0.5
+#: `Retry-After` in seconds of a draining entry while others serve; the caller's next
+#: connection goes to another one. While every entry drains, the time until the first is
+#: back is used instead.
+DRAINING_RETRY_AFTER = 0.05
+#: Greatest jitter in seconds that is added to the time until the first entry is back,
+#: so that callers refused together do not return together.
+RETRY_JITTER = 0.5
+#: Reason of a request that a draining entry refuses or aborts.
+DRAINING_REASON = Unsent.LEAVING.value
 
 
 @attrs.define
@@ -49,19 +49,19 @@
     """Routes, forwards and answers requests.
 
     Attributes:
-        routing_state: What is believed of the deployment.
-        codec: How requests look on the platform.
+        routing_state: Local view of the deployment.
+        codec: Decodes and encodes requests and answers of the platform.
         calls: Forwards calls to plain services.
         streams: Forwards streams.
-        readiness: Whether this entry is ending.
-        log: Log of decisions.
+        readiness: State of this entry's drain.
+        log: Decision log.
         clock: Returns the present time in seconds.
-        ready_in: Returns the seconds until an entry takes connections.
-        rng: Source of draws.
-        jobs: What is done for the requests that were routed and have not ended.
-        serving: Those whose requests have arrived whole and have not ended.
-        waits_for: Returns what the seconds of `ready_in` rest on, for the log.
-        guard: Tells whether refusals for unknown routes and keys can be trusted.
+        ready_in: Returns the seconds until an entry accepts connections.
+        rng: Source of random numbers.
+        jobs: Jobs of the requests that were routed and have not ended.
+        serving: Exchanges whose requests were received completely and have not ended.
+        waits_for: Returns which entry `ready_in` is based on, for the log.
+        guard: Decides whether refusals for unknown routes and keys can be trusted.
     """
 
     routing_state: RoutingState
@@ -79,65 +79,64 @@
     guard: StalenessGuard = attrs.field(factory=StalenessGuard)
 
     async def serve(self, caller: CallerExchange) -> None:
-        """Serve one request of a caller; whatever happens, it is answered."""
+        """Serve one request of a caller; always answer it, even after an exception."""
         self.serving.add(caller)
         try:
             await self._serve(caller)
         except Exception as error:
             self.log.failed(error)
-            if caller.begun:
-                caller.break_off()
+            if caller.response_started:
+                caller.abort()
             else:
                 self._refuse(caller, None, Refusal(ErrorKind.INTERNAL, "a defect"))
         finally:
             self.jobs.pop(caller, None)
             self.serving.discard(caller)
 
-    def cut_short(self, caller: CallerExchange, now: float) -> None:
-        """End a request for which no time is left, whatever happens.
+    def abort(self, caller: CallerExchange, now: float) -> None:
+        """End an open request at the drain deadline, even if an exception is raised.
 
-        Its task is stopped first, so that nothing is sent for it any more and nothing
-        else is answered.
+        Its task is cancelled first, so that it sends and answers nothing more.
 
         Args:
-            caller: Whose request it is.
+            caller: Exchange of the request.
             now: Present time in seconds.
         """
         caller.cancel()
         try:
-            self._tell_end(caller, now)
+            self._answer_aborted(caller, now)
         except Exception as error:
             self.log.failed(error)
-            if not caller.ended:
-                caller.break_off()
+            if not caller.response_ended:
+                caller.abort()
 
-    def _tell_end(self, caller: CallerExchange, now: float) -> None:
-        """End a request that was stopped, as truly as can be told."""
+    def _answer_aborted(self, caller: CallerExchange, now: float) -> None:
+        """End the answer of a cancelled request, with its outcome as far as known."""
         job = self.jobs.get(caller)
-        if caller.ended or caller.gone:
+        if caller.response_ended or caller.disconnected:
             return
         if job is None:
-            wait = self._other_entry()
-            refusal = Refusal(ErrorKind.DRAINING, LEAVING, retry_after=wait)
+            wait = self._retry_after()
+            refusal = Refusal(ErrorKind.DRAINING, DRAINING_REASON, retry_after=wait)
             self._refuse(caller, None, refusal)
             return
-        self._stop(job)
-        if caller.begun:
-            caller.break_off()
-            cause = Refusal(ErrorKind.DRAINING, LEAVING, Outcome.PARTIAL)
+        self._abandon_send(job)
+        if caller.response_started:
+            caller.abort()
+            cause = Refusal(ErrorKind.DRAINING, DRAINING_REASON, Outcome.PARTIAL)
             self.log.broken_off(job, cause, now)
             return
-        refusal = job.failure(ErrorKind.DRAINING, self._other_entry())
-        self.log.refused(job.request, refusal, job, self._basis(refusal))
+        refusal = job.failure(ErrorKind.DRAINING, self._retry_after())
+        self.log.refused(job.request, refusal, job, self._awaited_entry(refusal))
         self._refuse(caller, job.request, refusal)
 
-    def _stop(self, job: Job) -> None:
-        """Stop what an endpoint does for a request that is cut short."""
-        if job.current is None:
-            job.reason = LEAVING
+    def _abandon_send(self, job: Job) -> None:
+        """Abandon the exchange with an endpoint for a request that is aborted."""
+        if job.current_exchange is None:
+            job.reason = DRAINING_REASON
             return
-        job.note(SendOutcome.MAY_HAVE_RUN, LEAVING)
-        job.current.abandon()
+        job.record_outcome(SendOutcome.MAY_HAVE_RUN, DRAINING_REASON)
+        job.current_exchange.abandon()
 
     async def _serve(self, caller: CallerExchange) -> None:
         request = self.codec.decode(
@@ -148,10 +147,10 @@
             return
         request.body = bytes(caller.body)
         await self._wait_for_configuration(request)
-        job = await self._certain_job(caller, request)
+        job = await self._resolve_job(caller, request)
         if isinstance(job, Refusal):
-            job = self._with_return_time(job)
-            self.log.refused(request, job, None, self._basis(job))
+            job = self._with_retry_after(job)
+            self.log.refused(request, job, None, self._awaited_entry(job))
             self._refuse(caller, request, job)
             return
         if self.routing_state.crashes.is_refused(job.fingerprint, self.clock()):
@@ -161,71 +160,73 @@
             self.log.refused(request, refusal, job)
             self._refuse(caller, request, refusal)
             return
-        caller.on_gone = job.caller_gone
+        caller.on_disconnect = job.on_caller_disconnect
         self.jobs[caller] = job
         self.calls.budget.on_request(job.service, self.clock())
         refusal = await self._forward(job)
         now = self.clock()
         if refusal is None:
-            if caller.whole:
+            if caller.response_complete:
                 self.routing_state.crashes.clear(job.fingerprint)
-                self._note_duration(job, now)
+                self._record_duration(job, now)
             self.log.served(job, now)
             return
-        if not caller.begun:
-            refusal = self._with_return_time(refusal)
-            self.log.refused(request, refusal, job, self._basis(refusal))
+        if not caller.response_started:
+            refusal = self._with_retry_after(refusal)
+            self.log.refused(request, refusal, job, self._awaited_entry(refusal))
             self._refuse(caller, request, refusal)
-        elif caller.gone:
+        elif caller.disconnected:
             self.log.served(job, now)
         else:
-            caller.break_off()
+            caller.abort()
             self.log.broken_off(job, refusal, now)
 
-    def _note_duration(self, job: Job, now: float) -> None:
-        """Note how long a whole answer took."""
+    def _record_duration(self, job: Job, now: float) -> None:
+        """Record how long a complete answer took."""
         durations, received = self.routing_state.durations, job.request.received_at
         durations.note(job.route.name, now - received)
         if job.events > 1:
-            interval = (job.progressed_at - job.first_at) / (job.events - 1)
-            durations.note_stream(job.service, job.first_at - received, interval)
+            interval = (job.last_event_at - job.first_event_at) / (job.events - 1)
+            durations.note_stream(job.service, job.first_event_at - received, interval)
 
     async def _wait_for_configuration(self, request: CallerRequest) -> None:
-        """Hold a request that came before the first configuration did.
+        """Hold a request that arrived before the first configuration.
 
-        An entry that is ending asks its caller to go elsewhere at once.
+        A draining entry does not hold it, so that its caller retries elsewhere at once.
         """
         until = request.received_at + FIRST_CONFIGURATION_WAIT
         while self.routing_state.table is None and self.clock() < until:
-            if self.readiness.leaving:
+            if self.readiness.draining:
                 return
             await asyncio.sleep(RETRY_PERIOD)
 
-    async def _certain_job(
+    async def _resolve_job(
         self, caller: CallerExchange, request: CallerRequest
     ) -> Job | Refusal:
-        """Return what is to be done for a request, or why nothing is.
+        """Return the job of a request, or why it is refused.
 
-        What is not known here may have come meanwhile, if this entry has not heard for
-        long that its configuration is the newest.
+        A lookup that fails while the configuration is stale is repeated after a wait
+        for a newer version.
         """
-        job = self._job(caller, request)
-        if not isinstance(job, Refusal) or not self.guard.doubts(job):
+        job = self._route(caller, request)
+        if not isinstance(job, Refusal) or not self.guard.may_be_outdated(job):
             return job
-        await self.guard.wait()
-        job = self._job(caller, request)
-        if isinstance(job, Refusal) and self.guard.doubts(job):
+        await self.guard.wait_for_update()
+        job = self._route(caller, request)
+        if isinstance(job, Refusal) and self.guard.may_be_outdated(job):
             return self.guard.refusal(self.rng.random())
         return job
 
-    def _job(self, caller: CallerExchange, request: CallerRequest) -> Job | Refusal:
-        """Return what is to be done for a request, or why nothing is."""
+    def _route(self, caller: CallerExchange, request: CallerRequest) -> Job | Refusal:
+        """Return the job of a request by the current table, or why it is refused."""
         table = self.routing_state.table
-        if table is None and self.readiness.leaving:
-            return Refusal(ErrorKind.DRAINING, LEAVING)
+        if table is None and self.readiness.draining:
+            return Refusal(ErrorKind.DRAINING, DRAINING_REASON)
         if table is None:
             reason = "no configuration is known yet"
-            return Refusal(ErrorKind.NOT_READY, reason, retry_after=NOT_READY_RETRY)
+            return Refusal(
+                ErrorKind.NOT_READY, reason, retry_after=NOT_READY_RETRY_AFTER
+            )
         route = table.route(request.host, request.path)
         if isinstance(route, Refusal):
             return route
@@ -235,11 +236,11 @@
         patience = route.timeout
         if request.patience is not None:
             patience = min(patience, request.patience)
-        until = request.received_at + patience
+        deadline = request.received_at + patience
         service = route.service_for(request.id)
 
-        def takes(now: float) -> bool:
-            return self.readiness.takes(route.name, now, until)
+        def accepts(now: float) -> bool:
+            return self.readiness.accepts(route.name, now, deadline)
 
         job = Job(
             request=request,
@@ -248,43 +249,45 @@
             organisation=organisation,
             caller=caller,
             strip_key=table.keys is not None,
-            until=until,
-            takes=takes,
+            deadline=deadline,
+            accepts=accepts,
         )
         now = self.clock()
-        refusal = job.refused_at(now)
-        if self.readiness.leaving:
+        refusal = job.drain_refusal(now)
+        if self.readiness.draining:
             self._log_last_request(job, refusal is None, now)
         return refusal or job
 
-    def _with_return_time(self, refusal: Refusal) -> Refusal:
-        """Return a refusal that sends no caller back to entries which are ending."""
+    def _with_retry_after(self, refusal: Refusal) -> Refusal:
+        """Return a refusal that sends no caller back to draining entries."""
         if refusal.kind is ErrorKind.DRAINING:
-            return attrs.evolve(refusal, retry_after=self._other_entry())
-        if refusal.retry_after is None or not self.readiness.leaving:
+            return attrs.evolve(refusal, retry_after=self._retry_after())
+        if refusal.retry_after is None or not self.readiness.draining:
             return refusal
-        wait = max(refusal.retry_after, self._other_entry())
+        wait = max(refusal.retry_after, self._retry_after())
         return attrs.evolve(refusal, retry_after=wait)
 
-    def _log_last_request(self, job: Job, taken: bool, now: float) -> None:
-        """Tell whether a request was taken that came while this entry ends."""
-        time = self.readiness.answer_time(job.route.name, now, job.until)
-        self.log.last_request(job.request, taken, time, self.readiness.last - now)
+    def _log_last_request(self, job: Job, accepted: bool, now: float) -> None:
+        """Log whether a request that arrived while this entry drains was accepted."""
+        time = self.readiness.answer_time(job.route.name, now, job.deadline)
+        self.log.last_request(
+            job.request, accepted, time, self.readiness.drain_deadline - now
+        )
 
-    def _other_entry(self) -> float:
-        """Return the seconds after which a caller meets an entry that serves it."""
+    def _retry_after(self) -> float:
+        """Return the seconds after which a caller reaches an entry that serves it."""
         wait = self.ready_in()
         if not wait:
-            return LEAVING_RETRY
-        return wait + self.rng.uniform(0.0, RETRY_SPREAD)
+            return DRAINING_RETRY_AFTER
+        return wait + self.rng.uniform(0.0, RETRY_JITTER)
 
-    def _basis(self, refusal: Refusal) -> str:
-        """Return what the caller of a refused request waits for, empty for nothing."""
+    def _awaited_entry(self, refusal: Refusal) -> str:
+        """Return which entry the caller of a refused request waits for, or empty."""
         waits = refusal.kind is ErrorKind.DRAINING and refusal.retry_after is not None
         return self.waits_for() if waits else ""
 
     async def _forward(self, job: Job) -> Refusal | None:
-        """Forward a request; return why it has no whole answer, if it has none."""
+        """Forward a request; return why it has no complete answer, else None."""
         shape = self.routing_state.shape(job.service)
         if shape is not None:
             return await self.streams.serve(job, shape)
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -30,7 +30,7 @@
 
 #: Key of the sum of the loads of all other entries, as a hub sends it to a member.
 OTHERS_KEY = "others"
-#: Observation scope of the suspicions and losses in a message, by the scope of its loads.
+#: Observation scope of a message's suspicions and losses, by the scope of its loads.
 OBSERVATION_SCOPES = {
     Scope.OWN: ObservationScope.OWN,
     Scope.ZONE: ObservationScope.ZONE,
@@ -109,7 +109,7 @@
             name=self.name,
             zone=self.book.zone,
             address=self.address,
-            leaving=self.readiness.leaving,
+            leaving=self.readiness.draining,
             version=table.version if table else 0,
             version_age=self.configuration.freshness.age(boot_now),
             position=self.directory.position or 0,
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -1,14 +1,14 @@
-"""The callers' side of the entry, from their connections to their last answers."""
+"""The components that serve callers, from their connections to graceful shutdown."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from lacewingcourse.relay.caller import MOST_HEAD, CallerConnections
-from lacewingcourse.relay.endings import Endings
-from lacewingcourse.relay.front import Front
+from lacewingcourse.relay.caller import MAX_HEAD_BYTES, CallerConnections
+from lacewingcourse.relay.caller_server import CallerServer
+from lacewingcourse.relay.drain import Drainer
 from lacewingcourse.relay.gateway import Gateway
-from lacewingcourse.relay.leaving import Departure
+from lacewingcourse.relay.restart_estimate import RestartEstimator
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,14 +26,15 @@
 
 
 class Ingress:
-    """The callers' side of the entry.
+    """The components that serve callers.
 
     Attributes:
         gateway: Routes, forwards and answers requests.
-        callers: The connections of callers.
-        front: The server that they connect to.
-        endings: Expects the end of this entry, and the return of the first.
-        departure: Ends the entry when callers need it no more.
+        callers: Connections of callers.
+        server: HTTP server that callers connect to.
+        restart_estimator: Estimates the end of this entry, and when the first one is
+            back.
+        drainer: Ends the entry once no request is open.
     """
 
     def __init__(
@@ -49,19 +50,19 @@
         rng: Random,
         guard: StalenessGuard,
     ) -> None:
-        """Make the callers' side.
+        """Initialize the components.
 
         Args:
-            routing_state: What is believed of the deployment.
-            codec: How requests look on the platform.
+            routing_state: Local view of the deployment.
+            codec: Decodes and encodes requests and answers of the platform.
             calls: Forwards calls to plain services.
             streams: Forwards streams.
-            readiness: Whether this entry is ending.
-            book: The other entries.
-            log: Log of decisions.
+            readiness: State of this entry's drain.
+            book: Known peers.
+            log: Decision log.
             clock: Returns the present time in seconds.
-            rng: Source of draws.
-            guard: Tells whether refusals for unknown routes and keys can be trusted.
+            rng: Source of random numbers.
+            guard: Decides whether refusals for unknown routes and keys can be trusted.
         """
         self.log = log
         self.clock = clock
@@ -74,49 +75,51 @@
             readiness,
             log,
             clock,
-            lambda: self.endings.ready_in(),
+            lambda: self.restart_estimator.ready_in(),
             rng,
-            waits_for=lambda: self.endings.waits_for(),
+            waits_for=lambda: self.restart_estimator.waits_for(),
             guard=guard,
         )
         self.callers = CallerConnections(
-            self.gateway.serve, clock, lambda: readiness.leaving
+            self.gateway.serve, clock, lambda: readiness.draining
         )
-        self.endings = Endings(readiness, self.callers, self.gateway, book, clock)
-        self.front = Front(self.callers, max_header_size=MOST_HEAD)
-        # Idle connections are closed by `IdleWatch`.
-        self.front.conn_params.header_timeout = None
-        self.departure = Departure(
+        self.restart_estimator = RestartEstimator(
+            readiness, self.callers, self.gateway, book, clock
+        )
+        self.server = CallerServer(self.callers, max_header_size=MAX_HEAD_BYTES)
+        # Idle connections are closed by `IdleTimer`.
+        self.server.conn_params.header_timeout = None
+        self.drainer = Drainer(
             readiness,
             self.callers,
             self.gateway,
             clock,
-            self.front.stop_listening,
-            self.front.close_idle,
+            self.server.stop_listening,
+            self.server.close_idle,
         )
 
-    def put_in_force(self, limits: Limits) -> None:
-        """Apply the limits of a version that has come into force."""
-        # A head may begin when the connection's time to stay idle is nearly over.
+    def apply_limits(self, limits: Limits) -> None:
+        """Apply the limits of a configuration that has come into force."""
+        # A head may start to arrive just before the idle timeout expires.
         seconds = limits.idle_timeout + limits.header_timeout
-        self.callers.idle.put_in_force(seconds, self.clock())
-        params = self.front.conn_params
-        # A connection takes this when it begins to wait, so it leaves room for a later
-        # version; the limit in force is looked at once a head has come.
-        params.max_header_size = max(MOST_HEAD, limits.header_bytes)
-        self.callers.longest_head = limits.header_bytes
+        self.callers.idle.update(seconds, self.clock())
+        params = self.server.conn_params
+        # A connection reads this limit when it starts to wait for a head, so it leaves
+        # room for a later version; the limit in force is checked once a head arrived.
+        params.max_header_size = max(MAX_HEAD_BYTES, limits.header_bytes)
+        self.callers.max_head_bytes = limits.header_bytes
         params.max_body_size = limits.body_bytes
 
-    def leave(self, since: float) -> None:
-        """Take the request to end: from now on connections are not kept.
+    def start_drain(self, since: float) -> None:
+        """Start the drain: from now on connections are not kept alive.
 
         Args:
-            since: When the grace time began at the latest, seconds.
+            since: Time from which the grace time is counted, seconds.
         """
-        self.readiness.leave(since)
-        self.front.conn_params.no_keep_alive = True
+        self.readiness.start_drain(since)
+        self.server.conn_params.no_keep_alive = True
 
-    def tell_leaving(self) -> None:
-        """Tell what is open and when this entry expects to have ended."""
-        ends_in = self.endings.ends_in()
+    def log_drain_start(self) -> None:
+        """Log the number of open requests and when this entry expects to have ended."""
+        ends_in = self.restart_estimator.ends_in()
         self.log.belief("leaving", open=len(self.callers.open), ends_in=ends_in)
--- a/packages/relay/src/lacewingcourse/relay/sending.py
+++ b/packages/relay/src/lacewingcourse/relay/sending.py
@@ -138,7 +138,7 @@
 
     def _claim_send(self, job: Job, sending: Sending, now: float) -> Unsent | None:
         """Use up the retry and the permit of a send; return why it is denied, if so."""
-        if job.refused_at(now) is not None:
+        if job.drain_refusal(now) is not None:
             return Unsent.LEAVING
         if sending.time_left <= 0:
             return Unsent.OVERDUE
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -286,7 +286,7 @@
         """
         used = {p.address for w in self.watch.streams for p in w.path.parts}
         heard = self.watch.last_active(exclude=part.address)
-        unused = self.finder.unused(used | {part.address})
+        unused = self.finder.unused_address(used | {part.address})
         return [address for address in (heard, unused) if address is not None]
 
     def _apply_report(self, source: Part, found: EngineReport) -> None:
@@ -317,9 +317,9 @@
     def _move(self, watched: WatchedStream, endpoints: set[str]) -> None:
         """Signal a stall to a stream, if it may move, and stop watching it."""
         job = self.jobs[watched]
-        if job.may_move and job.current is not None:
+        if job.may_move and job.current_exchange is not None:
             job.avoid.update(endpoints)
-            job.current.arrivals.put_nowait(Stalled(cause_known=True))
+            job.current_exchange.arrivals.put_nowait(Stalled(cause_known=True))
             self.end(job)
 
 
--- a/packages/relay/src/lacewingcourse/relay/stream_attempt.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_attempt.py
@@ -141,12 +141,12 @@
     def _next_check_at(self, now: float) -> float:
         """Return when to check for a stall if nothing arrives until then, seconds."""
         if self.standby is not None:
-            return min(self.job.until, self.standby.started_at + STALL_TIMEOUT)
+            return min(self.job.deadline, self.standby.started_at + STALL_TIMEOUT)
         if self.moving_since is not None:
-            return min(self.job.until, now + PATH_SEARCH_PERIOD)
+            return min(self.job.deadline, now + PATH_SEARCH_PERIOD)
         if self.job.may_move:
-            return min(self.job.until, self.state.last_event_at + STALL_TIMEOUT)
-        return self.job.until
+            return min(self.job.deadline, self.state.last_event_at + STALL_TIMEOUT)
+        return self.job.deadline
 
     async def _on_head(self, arrival: Head) -> AttemptResult | None:
         """Process a response head; return the result if it is not a success."""
@@ -165,9 +165,9 @@
             return
         now = self.sender.clock()
         self.state.last_event_at = now
-        self.job.progress(now)
+        self.job.record_events(now)
         self.stalls.progress(self.job, now)
-        if self.job.caller.begun:
+        if self.job.caller.response_started:
             self.job.caller.write(events)
             return
         self._begin_response(events)
@@ -175,7 +175,7 @@
     async def _on_stall(self, arrival: Stalled) -> AttemptResult | None:
         """Process a stall; return the result, None if the attempt stays open."""
         now = self.sender.clock()
-        if now >= self.job.until:
+        if now >= self.job.deadline:
             self._close_attempt("the time of the route is over")
             return AttemptResult(AttemptEnd.OVERDUE, self.job.reason)
         if self.standby is not None:
@@ -211,7 +211,7 @@
     async def _await_standby(self, standby: Standby) -> None:
         """Wait for the response of a standby, and signal it to the relay loop."""
         now = self.sender.clock()
-        arrival = await next_arrival(standby.exchange, self.job.until, now)
+        arrival = await next_arrival(standby.exchange, self.job.deadline, now)
         if isinstance(arrival, Head):
             head = self.sender.codec.head(
                 arrival.status, arrival.headers, self.job.request
@@ -274,13 +274,13 @@
     def _close_attempt(self, reason: str) -> None:
         """Close this attempt and record that it may have run."""
         self.exchange.abandon()
-        self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
+        self.job.record_outcome(SendOutcome.MAY_HAVE_RUN, reason)
 
     def _on_end(self, arrival: End | Abandoned) -> AttemptResult | None:
         """Return the result of an ended attempt, None while a standby is pending."""
         if isinstance(arrival, Abandoned):
             self._close_attempt(arrival.reason)
-            self.job.caller.break_off()
+            self.job.caller.abort()
             return AttemptResult(AttemptEnd.ABANDONED, arrival.reason)
         if arrival.complete and not self.state.cutter.pending:
             self.sender.release(self.exchange, self.head)
@@ -303,7 +303,7 @@
         """Close an attempt that ended early, and return its result."""
         reason = getattr(arrival, "reason", "") or TRUNCATED_EVENT_REASON
         exchange.abandon()
-        self.job.note(SendOutcome.MAY_HAVE_RUN, reason)
+        self.job.record_outcome(SendOutcome.MAY_HAVE_RUN, reason)
         now = self.sender.clock()
         if exchange.was_dropped and now < started_at + STALE_CONNECTION_WINDOW:
             return AttemptResult(AttemptEnd.DROPPED, reason)
@@ -311,7 +311,7 @@
 
     def _finish_response(self) -> None:
         """End the caller's response, which may have no events."""
-        if not self.job.caller.begun:
+        if not self.job.caller.response_started:
             self._begin_response(b"")
         self.job.caller.end()
 
@@ -333,7 +333,7 @@
         """
         job = self.job
         body = bytearray()
-        until = min(job.until, self.sender.clock() + ERROR_BODY_TIMEOUT)
+        until = min(job.deadline, self.sender.clock() + ERROR_BODY_TIMEOUT)
         while True:
             now = self.sender.clock()
             arrival = await next_arrival(exchange, until, now)
@@ -347,12 +347,18 @@
             return AttemptResult(AttemptEnd.ABANDONED, arrival.reason)
         if head.standing is Standing.REJECTED:
             reason = f"rejected with {head.status}"
-            job.note(SendOutcome.REJECTED, reason)
+            job.record_outcome(SendOutcome.REJECTED, reason)
             return AttemptResult(
                 AttemptEnd.REJECTED, reason, head.fault_address, head.misdirected
             )
-        job.note(SendOutcome.MAY_HAVE_RUN, f"status {head.status} {head.reason}")
-        if head.standing is not Standing.ANSWERED or not whole or job.caller.begun:
+        job.record_outcome(
+            SendOutcome.MAY_HAVE_RUN, f"status {head.status} {head.reason}"
+        )
+        if (
+            head.standing is not Standing.ANSWERED
+            or not whole
+            or job.caller.response_started
+        ):
             return AttemptResult(AttemptEnd.LOST, job.reason)
         self.state.failure = WholeAnswer(head, bytes(body))
         # Errors below 500 concern the request itself; another engine would return the
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -118,7 +118,7 @@
             if result.end is AttemptEnd.NOT_TAKEN:
                 return self._fail(state, ErrorKind.DRAINING, result.reason)
             if result.end is AttemptEnd.HELD:
-                if not job.caller.begun or job.caller.gone:
+                if not job.caller.response_started or job.caller.disconnected:
                     return self._fail(state, ErrorKind.OVERLOADED, result.reason)
                 await asyncio.sleep(RETRY_PERIOD)
                 continue
@@ -169,11 +169,11 @@
     def reserve_retry(self, job: Job) -> Refusal | None:
         """Hold a retry for a request; return why it may not be sent, None if it may."""
         now = self.sender.clock()
-        refusal = job.refused_at(now)
+        refusal = job.drain_refusal(now)
         if refusal is not None:
             return refusal
         if job.sends and not self.budget.hold(
-            job.service, job, now, reserved=not job.may_come_back
+            job.service, job, now, reserved=not job.caller_may_retry
         ):
             self.on_denied(job.service, job.request.id)
             return Refusal(ErrorKind.RETRIES_EXHAUSTED, Unsent.NO_RETRY.value)
@@ -238,7 +238,7 @@
         now = self.sender.clock()
         first = job.path.first
         after = state.cutter.last_id
-        if now >= job.until:
+        if now >= job.deadline:
             if reserved is not None:
                 reserved.close()
             return self._result_of_unsent(NotSent(Unsent.OVERDUE))
@@ -247,7 +247,7 @@
         )
         sent = await self.sender.send(job, sending, fresh, reserved)
         if isinstance(sent, NotSent):
-            job.note(SendOutcome.NEVER_LEFT, sent.reason)
+            job.record_outcome(SendOutcome.NEVER_LEFT, sent.reason)
             return self._result_of_unsent(sent)
         self.record_send(job, job.path)
         return await self._relay_response(state, sent, None)
@@ -264,10 +264,10 @@
         """
         job = state.job
         try:
-            job.current = sent
+            job.current_exchange = sent
             self.stalls.begin(job, self.sender.clock())
-            if job.caller.gone:
-                job.caller_gone()
+            if job.caller.disconnected:
+                job.on_caller_disconnect()
             state.cutter.discard_pending()
             mover = Mover(self, state, job.path)
             attempt = StreamAttempt(
@@ -279,13 +279,13 @@
             sent.abandon()
             raise
         finally:
-            job.current = None
+            job.current_exchange = None
             self.stalls.end(job)
 
     def record_send(self, job: Job, path: Path) -> None:
         """Record that an attempt was sent on a path."""
         job.sends += 1
-        job.firsts.add(path.first.endpoint)
+        job.sent_to.add(path.first.endpoint)
         job.path = path
         age = self.sender.clock() - self.routing_state.fleet.known_at
         limit = self.routing_state.limits.named(path.first.endpoint)
@@ -377,11 +377,11 @@
                 no limit is the cause.
         """
         job = state.job
-        if state.failure is not None and not job.caller.begun:
+        if state.failure is not None and not job.caller.response_started:
             headers = self.sender.codec.for_caller(state.failure.head)
             job.caller.answer(state.failure.head.status, headers, state.failure.body)
             return None
-        if job.caller.begun:
+        if job.caller.response_started:
             return Refusal(kind, cause, Outcome.PARTIAL)
         job.reason = job.reason or cause
         wait = self._retry_after(job, kind)
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/rolling_restart.py
@@ -1,4 +1,4 @@
-"""Entries that are asked to end one after the other, and start again."""
+"""A simulated rolling restart: entries drain one after the other and start again."""
 
 from __future__ import annotations
 
@@ -16,41 +16,41 @@
 from lacewingcourse.core.pipelines.routing import Organisation, RetrySafety
 from lacewingcourse.core.pipelines.shape import EngineShape
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
-from lacewingcourse.relay.endings import Endings
+from lacewingcourse.relay.drain import Drainer
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.gossip import Gossip
-from lacewingcourse.relay.leaving import Departure
 from lacewingcourse.relay.peer_messages import GossipMessage, decode, encode
 from lacewingcourse.relay.peers import GOSSIP_PERIOD
 from lacewingcourse.relay.readiness import Readiness
+from lacewingcourse.relay.restart_estimate import RestartEstimator
 from lacewingcourse.relay.routing_state import RoutingState
 
 from .routes import route_of
 from .stream_scenario import CallerStub, RecordingLog
 
-#: Seconds in which an entry must have ended.
+#: Seconds from the shutdown request within which an entry must have ended.
 GRACE = 8.0
-#: Seconds between the requests to end of two entries.
-APART = 0.38
+#: Seconds between the shutdown requests of two entries.
+STAGGER = 0.38
 #: Tokens in one event of an answer, and seconds between two events.
 EVENT_TOKENS = 2
 INTERVAL = 0.028
 #: Events that callers allow.
 MAX_EVENTS = 173
 #: Seconds that a message between entries takes.
-TRIP = 0.005
+MESSAGE_DELAY = 0.005
 #: Seconds between two callers of an entry.
 CALL_PERIOD = 0.07
-#: Seconds between the end of an entry and its first connections, at the least.
-LEAST_BACK = 0.9
+#: Least seconds between the end of an entry and its first connections.
+MIN_RESTART_TIME = 0.9
 
 
-#: Draws how many events an answer has.
-Lengths = Callable[[Random], int]
+#: Draws the number of events of an answer.
+DrawEventCount = Callable[[Random], int]
 
 
 class Caller(CallerStub):
-    """A caller whose answer has a number of events."""
+    """A caller whose answer has a given number of events."""
 
     def __init__(self, events: int, now: float) -> None:
         super().__init__()
@@ -65,16 +65,16 @@
 
 
 @attrs.frozen
-class Refused:
-    """A caller that was refused while entries were ending.
+class RefusedCaller:
+    """A caller that was refused while entries were draining.
 
     Attributes:
-        at: When, seconds.
-        comes_at: When it was told to come back.
+        at: When it was refused, seconds.
+        returns_at: When its `Retry-After` expires, seconds.
     """
 
     at: float
-    comes_at: float
+    returns_at: float
 
 
 @attrs.define
@@ -82,32 +82,32 @@
     """One process of an entry.
 
     Attributes:
-        gateway: Takes requests.
-        departure: Ends it.
-        gossip: Speaks with others.
+        gateway: Serves requests.
+        drainer: Drains it.
+        gossip: Exchanges state with other entries.
     """
 
     gateway: Gateway
-    departure: Departure
+    drainer: Drainer
     gossip: Gossip
 
     def call(self, events: int) -> Caller:
-        """Send it a request whose answer has a number of events."""
+        """Send a request whose answer has a given number of events."""
         caller = Caller(events, self.gateway.clock())
         caller.task = asyncio.ensure_future(self.gateway.serve(caller))
-        callers = self.departure.callers.open
+        callers = self.drainer.callers.open
         callers.add(caller)
         caller.task.add_done_callback(lambda task: callers.discard(caller))
         return caller
 
 
 async def write_events(job, shape) -> None:
-    """Write an answer as an engine does that is well."""
+    """Write an answer as a healthy engine does."""
     job.caller.begin(200, HTTPHeaders())
     clock = asyncio.get_running_loop().time
     for _ in range(job.caller.events):
         await asyncio.sleep(INTERVAL)
-        job.progress(clock())
+        job.record_events(clock())
     job.caller.end()
 
 
@@ -126,30 +126,34 @@
     )
 
 
-class Restarts:
+class RollingRestart:
     """A deployment whose entries are all restarted within some seconds.
 
     Attributes:
-        processes: The processes that run, by name of the entry.
-        lengths: Draws how many events an answer has.
-        back: When each entry took connections again, by name.
-        refused: Callers that were refused while no entry was back.
+        processes: The running processes, by name of the entry.
+        draw_event_count: Draws the number of events of an answer.
+        ready_at: When each entry accepted connections again, by name.
+        refused: Callers that were refused before any entry was back.
     """
 
     def __init__(
-        self, shape: EngineShape, count: int, seed: int, lengths: Lengths
+        self,
+        shape: EngineShape,
+        count: int,
+        seed: int,
+        draw_event_count: DrawEventCount,
     ) -> None:
-        self.lengths = lengths
+        self.draw_event_count = draw_event_count
         self.shape = attrs.evolve(shape, event_tokens=EVENT_TOKENS)
         self.clock = asyncio.get_running_loop().time
         self.rng = Random(seed)
         self.names = [f"entry-{number}" for number in range(count)]
         self.processes: dict[str, Process] = {}
-        self.back: dict[str, float] = {}
-        self.refused: list[Refused] = []
+        self.ready_at: dict[str, float] = {}
+        self.refused: list[RefusedCaller] = []
 
     def start(self, name: str) -> None:
-        """Start a process of an entry, and let it speak."""
+        """Start a process of an entry, and its gossip."""
         routing_state = RoutingState()
         route = route_of("rooms", RetrySafety.RESUMABLE_STREAM)
         routing_state.table = SimpleNamespace(
@@ -160,12 +164,12 @@
             keys=None,
         )
         for _ in range(64):
-            events = self.lengths(self.rng)
+            events = self.draw_event_count(self.rng)
             routing_state.durations.note("rooms", events * INTERVAL)
             routing_state.durations.note_stream("rooms", INTERVAL, INTERVAL)
         process = self._process(name, routing_state)
         self.processes[name] = process
-        asyncio.ensure_future(self._speak(name, process))
+        asyncio.ensure_future(self._run_gossip(name, process))
 
     def _process(self, name: str, routing_state: RoutingState) -> Process:
         readiness = Readiness(routing_state, GRACE, LAST_REQUESTS.get("redirected"))
@@ -188,11 +192,11 @@
             readiness,
             RecordingLog(),
             self.clock,
-            lambda: endings.ready_in(),
+            lambda: estimator.ready_in(),
             Random(self.rng.random()),
         )
         callers = SimpleNamespace(open=set())
-        endings = Endings(readiness, callers, gateway, book, self.clock)
+        estimator = RestartEstimator(readiness, callers, gateway, book, self.clock)
         follower = SimpleNamespace(
             freshness=Freshness(1.0, 0.1), position=None, reachable=True
         )
@@ -207,13 +211,13 @@
             readiness,
             RecordingLog(),
             self.clock,
-            endings.ends_in,
+            estimator.ends_in,
         )
-        departure = Departure(readiness, callers, gateway, self.clock)
-        return Process(gateway, departure, gossip)
+        drainer = Drainer(readiness, callers, gateway, self.clock)
+        return Process(gateway, drainer, gossip)
 
-    async def _speak(self, name: str, process: Process) -> None:
-        """Speak with the other entries as long as a process runs."""
+    async def _run_gossip(self, name: str, process: Process) -> None:
+        """Exchange state with the other entries while the process runs."""
         await asyncio.sleep(self.rng.uniform(0.0, GOSSIP_PERIOD))
         while self.processes.get(name) is process:
             for peer in process.gossip.book.gossip_targets(self.clock()):
@@ -221,47 +225,49 @@
             await asyncio.sleep(GOSSIP_PERIOD)
 
     async def _exchange(self, process: Process, other_name: str) -> None:
-        """Let a process speak to another one, and that one answer."""
+        """Send the state of a process to another one, and process the reply."""
         news = encode(process.gossip.message_for(other_name, ""))
-        await asyncio.sleep(TRIP)
+        await asyncio.sleep(MESSAGE_DELAY)
         other = self.processes.get(other_name)
         if other is None:
             return
         other.gossip.receive(decode(news, GossipMessage))
         answer = encode(other.gossip.message_for(process.gossip.name, ""))
-        await asyncio.sleep(TRIP)
+        await asyncio.sleep(MESSAGE_DELAY)
         process.gossip.receive(decode(answer, GossipMessage))
 
     async def restart(self, name: str) -> None:
-        """Ask an entry to end, and start it again."""
+        """Ask an entry to shut down, and start it again."""
         process = self.processes[name]
-        process.gateway.readiness.leave(self.clock())
-        calls = asyncio.ensure_future(self._call(process))
-        await process.departure.carry_out()
+        process.gateway.readiness.start_drain(self.clock())
+        calls = asyncio.ensure_future(self._send_callers(process))
+        await process.drainer.run()
         calls.cancel()
         del self.processes[name]
-        await asyncio.sleep(self.rng.uniform(LEAST_BACK, RESTART_TIME + STARTUP_TIME))
+        await asyncio.sleep(
+            self.rng.uniform(MIN_RESTART_TIME, RESTART_TIME + STARTUP_TIME)
+        )
         self.start(name)
-        self.back[name] = self.clock()
+        self.ready_at[name] = self.clock()
 
-    async def _call(self, process: Process) -> None:
-        """Send callers to a process, and keep those that it refuses."""
+    async def _send_callers(self, process: Process) -> None:
+        """Send callers to a process, and record those that it refuses."""
         while True:
             await asyncio.sleep(CALL_PERIOD)
-            caller = process.call(self.lengths(self.rng))
+            caller = process.call(self.draw_event_count(self.rng))
             await asyncio.sleep(0)
-            if caller.task.done() and not self.back:
+            if caller.task.done() and not self.ready_at:
                 wait = float(caller.headers["Retry-After"])
-                self.refused.append(Refused(self.clock(), self.clock() + wait))
+                self.refused.append(RefusedCaller(self.clock(), self.clock() + wait))
 
-    async def play(self) -> None:
+    async def restart_all(self) -> None:
         """Restart all entries, each with an open answer."""
         for name in self.names:
             self.start(name)
         await asyncio.sleep(5 * GOSSIP_PERIOD)
         restarts = []
         for name in self.names:
-            self.processes[name].call(self.lengths(self.rng))
+            self.processes[name].call(self.draw_event_count(self.rng))
             restarts.append(asyncio.ensure_future(self.restart(name)))
-            await asyncio.sleep(APART)
+            await asyncio.sleep(STAGGER)
         await asyncio.gather(*restarts)
--- a/packages/relay/tests/relay/test_admission.py
+++ b/packages/relay/tests/relay/test_admission.py
@@ -16,20 +16,20 @@
 DEMAND = Demand(700, 200)
 
 
-def make_job(begun: bool):
-    """Return what admission needs of a request that came at 100."""
+def make_job(response_started: bool):
+    """Return what admission needs of a request that arrived at 100."""
     return SimpleNamespace(
         request=SimpleNamespace(received_at=100.0),
         route=SimpleNamespace(objective=0.5, gap=0.2),
-        caller=SimpleNamespace(begun=begun, gone=False),
+        caller=SimpleNamespace(response_started=response_started, disconnected=False),
         urgency=1,
-        until=120.0,
-        progressed_at=103.0,
+        deadline=120.0,
+        last_event_at=103.0,
     )
 
 
-class Time:
-    """A clock that a test moves."""
+class ManualClock:
+    """A clock that a test sets."""
 
     def __init__(self, now: float) -> None:
         self.now = now
@@ -38,9 +38,9 @@
         return self.now
 
 
-def waits_until(job, start, monkeypatch):
-    """Return when a request stops to wait for room that never comes."""
-    clock = Time(start)
+def give_up_time(job, start, monkeypatch):
+    """Return when a request stops waiting for room that never becomes available."""
+    clock = ManualClock(start)
 
     async def sleep(seconds):
         clock.now += seconds
@@ -51,52 +51,54 @@
     return clock.now
 
 
-def test_a_new_request_waits_while_it_can_be_in_time(monkeypatch):
-    """With two objectives late answers took the room of those still in time."""
-    until = waits_until(make_job(begun=False), 100.0, monkeypatch)
+def test_new_request_waits_while_it_can_meet_its_objective(monkeypatch):
+    """With a wait of two objectives, late answers took room from punctual ones."""
+    until = give_up_time(make_job(response_started=False), 100.0, monkeypatch)
     assert abs(until - (100.0 + 0.5 * IN_TIME_SHARE)) < 0.01
 
 
-def test_a_stream_that_broke_waits_as_long_as_its_caller_bears(monkeypatch):
-    """Cut after half the allowed pause, it was lost although room came later."""
-    until = waits_until(make_job(begun=True), 103.1, monkeypatch)
+def test_broken_stream_waits_as_long_as_its_caller(monkeypatch):
+    """Aborted after half the allowed pause, it was lost although room came later."""
+    until = give_up_time(make_job(response_started=True), 103.1, monkeypatch)
     assert abs(until - (103.0 + 2.2)) < 0.01
 
 
 @pytest.mark.parametrize(
-    ("objective", "gap", "leaves_after"),
+    ("objective", "gap", "caller_patience"),
     [(0.5, 0.2, 2.0), (0.503, 0.25, 2.012), (0.603, 0.3, 2.412), (0.1, 0.5, 4.0)],
 )
-def test_a_stream_that_broke_waits_longer_than_its_caller(objective, gap, leaves_after):
-    """With one time for all routes, callers that would have read on were cut off."""
-    assert resume_timeout(objective, gap) > leaves_after
+def test_broken_stream_waits_longer_than_its_caller(objective, gap, caller_patience):
+    """With one wait for all routes, callers that kept reading were cut off."""
+    assert resume_timeout(objective, gap) > caller_patience
 
 
-def test_room_that_comes_is_taken(monkeypatch):
+def test_path_that_becomes_available_is_used(monkeypatch):
     found = iter([FULL, FULL, "path"])
 
     async def sleep(seconds):
         pass
 
     monkeypatch.setattr(asyncio, "sleep", sleep)
-    admission = Admission(Time(100.0))
-    job = make_job(begun=False)
+    admission = Admission(ManualClock(100.0))
+    job = make_job(response_started=False)
     path = asyncio.run(admission.path_for(job, DEMAND, lambda: next(found)))
     assert path == "path"
     assert admission.queue.requests == []
 
 
 @pytest.mark.parametrize(("next_in", "waits"), [(0.0, True), (0.1, True), (0.5, False)])
-def test_a_request_waits_for_a_limited_endpoint_only_if_that_is_in_time(
+def test_request_waits_for_a_limited_endpoint_only_if_it_is_available_in_time(
     monkeypatch, next_in, waits
 ):
-    clock = Time(100.0)
+    clock = ManualClock(100.0)
 
     async def sleep(seconds):
         clock.now += seconds
 
     monkeypatch.setattr(asyncio, "sleep", sleep)
     limited = Refusal(ErrorKind.OVERLOADED, "at its limit", retry_after=next_in)
-    path = Admission(clock).path_for(make_job(begun=False), DEMAND, lambda: limited)
+    path = Admission(clock).path_for(
+        make_job(response_started=False), DEMAND, lambda: limited
+    )
     assert asyncio.run(path) is limited
     assert (clock.now > 100.0) is waits
--- a/packages/relay/tests/relay/test_calls.py
+++ b/packages/relay/tests/relay/test_calls.py
@@ -1,8 +1,8 @@
-"""Tests of calls to plain services whose endpoints are slow.
+"""Tests of calls to plain services.
 
-Callers of idempotent calls got 502 although the endpoint would have answered in time:
-after some objectives its send was closed to try another endpoint, and only then it was
-asked whether a retry was left and another endpoint free.
+Callers of idempotent calls got 502 although a slow endpoint would have answered in
+time: its exchange was closed before it was checked whether a retry was left and another
+endpoint was free.
 """
 
 from __future__ import annotations
@@ -41,15 +41,15 @@
 from .stream_scenario import NO_RETRIES, UNLIMITED_RETRIES, RecordingLog
 from .virtual_time import play
 
-#: Seconds that a slow endpoint takes, and a quick one.
-SLOW = 1.0
-QUICK = 0.05
+#: Seconds that a slow endpoint takes, and a fast one.
+SLOW_SECONDS = 1.0
+FAST_SECONDS = 0.05
 #: Status of an endpoint that has not run a call.
 REJECTED = 503
 
 
-class Send:
-    """A send to an endpoint that answers after some time."""
+class FakeExchange:
+    """An exchange with an endpoint that answers after some time."""
 
     def __init__(self, name: str, seconds: float, status: int, dropped: bool) -> None:
         self.arrivals: asyncio.Queue = asyncio.Queue()
@@ -75,15 +75,15 @@
 
 @attrs.define(slots=False)
 class CallPlay:
-    """A call to a service of two endpoints; the first one sent to is the slow one.
+    """A call to a service of two endpoints; the first one that gets it is slow.
 
     Attributes:
-        slack: Repeats that are allowed.
-        endpoints: Endpoints of the service.
+        slack: Retries that the budget allows.
+        endpoints: Number of endpoints of the service.
         status: Status of every answer.
-        retry_safety: What may be repeated.
-        unsent: Why it cannot be sent, None if it can.
-        drops: Whether the endpoints have dropped the connections that are kept to them.
+        retry_safety: Which calls may be repeated.
+        unsent: Why the call cannot be sent, None if it can.
+        drops: Whether the endpoints have dropped their idle connections.
         slow: Seconds that the first endpoint takes.
     """
 
@@ -93,10 +93,10 @@
     retry_safety: RetrySafety = RetrySafety.IDEMPOTENT
     unsent: Unsent | None = None
     drops: bool = False
-    slow: float = SLOW
+    slow: float = SLOW_SECONDS
 
     def __attrs_post_init__(self) -> None:
-        self.sends: list[Send] = []
+        self.sends: list[FakeExchange] = []
         self.sent_to: list[str] = []
         self.budget = RetryBudget(0.0, 10.0, self.slack)
         self.routing_state = RoutingState()
@@ -107,7 +107,7 @@
         return asyncio.get_running_loop().time()
 
     async def serve(self) -> WholeAnswer | Refusal:
-        """Serve the call; return its answer, or how it ended."""
+        """Serve the call; return its answer, or the refusal."""
         for number in range(self.endpoints):
             name = f"e{number}"
             self.routing_state.fleet.put(Endpoint(name, "desk", f"{name}:1", "east", 6))
@@ -126,7 +126,7 @@
         request = SimpleNamespace(
             host="h", target="/", key=None, body=b"", received_at=0.0
         )
-        caller = SimpleNamespace(gone=False, begun=False)
+        caller = SimpleNamespace(disconnected=False, response_started=False)
         return Job(request, route, "desk", Organisation(""), caller, False, 2.5)
 
     def _head(self, status, headers, request) -> AnswerHead:
@@ -138,10 +138,10 @@
             return NotSent(self.unsent)
         return SimpleNamespace(close=lambda: None, reused=not fresh)
 
-    async def send(self, job, sending, fresh) -> Send | NotSent:
+    async def send(self, job, sending, fresh) -> FakeExchange | NotSent:
         return await Sender.send(self, job, sending, fresh)
 
-    #: What a send needs is decided as it really is.
+    #: Retries and limits are checked by the real sender.
     release_holds = Sender.release_holds
     _claim_send = Sender._claim_send
 
@@ -149,41 +149,41 @@
     def limits(self) -> SendLimits:
         return self.routing_state.send_limits
 
-    def start(self, job, sending, connection) -> Send:
-        seconds = QUICK if self.sends else self.slow
+    def start(self, job, sending, connection) -> FakeExchange:
+        seconds = FAST_SECONDS if self.sends else self.slow
         dropped = self.drops and connection.reused
-        self.sends.append(Send(sending.endpoint, seconds, self.status, dropped))
+        self.sends.append(FakeExchange(sending.endpoint, seconds, self.status, dropped))
         self.sent_to.append(sending.endpoint)
         return self.sends[-1]
 
     def release(self, exchange, head) -> None:
-        """Keep nothing."""
+        """Do nothing: no connection is kept."""
 
 
 @pytest.mark.parametrize("lacks", [{"slack": NO_RETRIES}, {"endpoints": 1}])
-def test_a_slow_endpoint_is_waited_for_where_nothing_replaces_it(lacks):
+def test_slow_endpoint_is_awaited_without_a_retry_or_another_endpoint(lacks):
     played = CallPlay(**lacks)
     answer = play(played.serve())
     assert isinstance(answer, WholeAnswer)
     assert len(played.sends) == 1
 
 
-def test_a_slow_endpoint_is_left_for_one_that_may_be_asked():
+def test_slow_endpoint_is_abandoned_for_another_endpoint():
     played = CallPlay()
     answer = play(played.serve())
     assert isinstance(answer, WholeAnswer)
     assert [send.abandoned for send in played.sends] == [True, False]
 
 
-def test_a_call_that_may_run_once_waits_for_its_endpoint():
+def test_non_idempotent_call_waits_for_its_endpoint():
     played = CallPlay(retry_safety=RetrySafety.ONCE)
     assert isinstance(play(played.serve()), WholeAnswer)
     assert len(played.sends) == 1
 
 
 @pytest.mark.parametrize("retry_safety", [RetrySafety.IDEMPOTENT, RetrySafety.ONCE])
-def test_a_call_is_answered_although_kept_connections_were_dropped(retry_safety):
-    """Its callers got 502 although the endpoint lived."""
+def test_call_is_answered_after_kept_connections_were_dropped(retry_safety):
+    """Callers got 502 although the endpoint was alive."""
     played = CallPlay(
         slack=NO_RETRIES, endpoints=1, drops=True, retry_safety=retry_safety
     )
@@ -197,8 +197,8 @@
         (Unsent.NO_DESCRIPTOR, ErrorKind.OVERLOADED),
     ],
 )
-def test_what_lies_with_no_endpoint_takes_none_from_other_calls(cause, kind):
-    """Its endpoint was taken for one that cannot be reached, and left out for all."""
+def test_local_send_failure_does_not_suspect_the_endpoint(cause, kind):
+    """The endpoint was taken for unreachable, and excluded for all calls."""
     played = CallPlay(unsent=cause)
     ended = play(played.serve())
     assert ended.kind is kind
@@ -206,16 +206,16 @@
     assert played.routing_state.suspects.excluded(0.0) == set()
 
 
-def test_a_call_that_no_endpoint_ran_is_refused_as_such():
-    """Its caller was told that it may have run, and not when to come back."""
+def test_rejected_call_without_a_retry_is_reported_as_not_run():
+    """Its caller was told that it may have run, and not when to retry."""
     ended = play(CallPlay(slack=NO_RETRIES, status=REJECTED).serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
     assert ended.outcome is Outcome.NOT_RUN
     assert ended.retry_after is not None
 
 
-def test_a_defect_stops_what_an_endpoint_does_for_a_call():
-    """The endpoint works on for a caller that has been answered 500."""
+def test_exception_while_reading_the_answer_abandons_the_exchange():
+    """The endpoint kept working for a caller that had been answered 500."""
     played = CallPlay(endpoints=1)
 
     def fails(status, headers, request):
@@ -228,19 +228,19 @@
 
 
 def name_limit(played, *names):
-    """Let endpoints name limits, without a permit at hand."""
+    """Let endpoints name limits, without granting permits."""
     for name in names:
         played.routing_state.limits.observe(name, 2.0, 0.0, 0.0)
 
 
-def test_a_call_goes_past_an_endpoint_that_is_at_its_limit():
-    played = CallPlay(slow=QUICK)
+def test_call_skips_an_endpoint_at_its_limit():
+    played = CallPlay(slow=FAST_SECONDS)
     name_limit(played, "e0")
     assert isinstance(play(played.serve()), WholeAnswer)
     assert played.sent_to == ["e1"]
 
 
-def test_a_call_that_only_limited_endpoints_could_serve_may_come_back():
+def test_call_is_overloaded_when_every_endpoint_is_at_its_limit():
     played = CallPlay()
     name_limit(played, "e0", "e1")
     ended = play(played.serve())
@@ -250,7 +250,7 @@
     assert played.sends == []
 
 
-def test_a_slow_endpoint_is_not_left_for_one_that_is_at_its_limit():
+def test_slow_endpoint_is_not_abandoned_for_one_at_its_limit():
     played = CallPlay()
     name_limit(played, "e0", "e1")
     grant = Grant("i", (0.0,), 10.0)
@@ -261,9 +261,9 @@
     assert played.sent_to == ["e0"]
 
 
-def test_a_call_on_a_dropped_connection_takes_another_permit():
-    """The endpoint may have got it: the second send is one more."""
-    played = CallPlay(endpoints=1, drops=True, slow=QUICK)
+def test_resend_after_a_dropped_connection_needs_another_permit():
+    """The endpoint may have received the first send, so the second one counts too."""
+    played = CallPlay(endpoints=1, drops=True, slow=FAST_SECONDS)
     name_limit(played, "e0")
     grant = Grant("i", (0.0,), 10.0)
     played.routing_state.send_limits.sharing.accept_grant(
--- a/packages/relay/tests/relay/test_clocks.py
+++ b/packages/relay/tests/relay/test_clocks.py
@@ -1,4 +1,4 @@
-"""Tests that the entry goes by clocks that nobody sets."""
+"""Tests that the entry does not read the wall clock."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 ROOT = Path(__file__).resolve().parents[4]
 #: Sources of the deployed entry.
 SOURCES = ("packages/relay/src", "platform/src", "packages/core/src")
-#: Calls that read the time of day, which may jump by seconds either way.
-TIME_OF_DAY = {("time", "time"), ("time", "time_ns"), ("datetime", "now")}
+#: Calls that read the wall clock, which may jump by seconds in either direction.
+WALL_CLOCK_CALLS = {("time", "time"), ("time", "time_ns"), ("datetime", "now")}
 
 
-def readings(path: Path) -> list[str]:
-    """Return where a source reads the time of day."""
+def wall_clock_reads(path: Path) -> list[str]:
+    """Return where a source file reads the wall clock."""
     return [
         f"{path.relative_to(ROOT)}:{node.lineno}"
         for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.Attribute)
         and isinstance(node.value, ast.Name)
-        and (node.value.id, node.attr) in TIME_OF_DAY
+        and (node.value.id, node.attr) in WALL_CLOCK_CALLS
     ]
 
 
-def test_no_decision_goes_by_the_time_of_day():
+def test_sources_do_not_read_the_wall_clock():
     paths = [path for root in SOURCES for path in (ROOT / root).rglob("*.py")]
     assert paths
-    assert [found for path in paths for found in readings(path)] == []
+    assert [found for path in paths for found in wall_clock_reads(path)] == []
--- a/packages/relay/tests/relay/test_concurrent_retries.py
+++ b/packages/relay/tests/relay/test_concurrent_retries.py
@@ -23,7 +23,7 @@
     StreamScenario,
     whole_answer,
 )
-from .test_calls import QUICK, REJECTED, CallPlay
+from .test_calls import FAST_SECONDS, REJECTED, CallPlay
 from .virtual_time import play
 
 #: Requests on an endpoint, and retries left in the budget when it is lost.
@@ -157,7 +157,9 @@
 
 
 def test_calls_rejected_at_once_stay_within_the_retry_budget(budget):
-    scenarios = [SlowConnectCall(status=REJECTED, slow=QUICK) for _ in range(REQUESTS)]
+    scenarios = [
+        SlowConnectCall(status=REJECTED, slow=FAST_SECONDS) for _ in range(REQUESTS)
+    ]
     for scenario in scenarios:
         scenario.budget = budget
     ends = serve(scenarios)
@@ -232,8 +234,8 @@
 
 
 def test_a_call_whose_borrowed_retry_expires_while_connecting_is_refused(loan):
-    scenario = SlowConnectCall(status=REJECTED, slow=QUICK)
-    scenario.budget = loan(QUICK + 1.5 * CONNECT_SECONDS)
+    scenario = SlowConnectCall(status=REJECTED, slow=FAST_SECONDS)
+    scenario.budget = loan(FAST_SECONDS + 1.5 * CONNECT_SECONDS)
     (ended,) = serve([scenario])
     assert len(scenario.sends) == 1
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
@@ -264,7 +266,7 @@
 def test_a_request_cancelled_while_connecting_releases_its_retry(
     streams, budget, service
 ):
-    calls = [SlowConnectCall(status=REJECTED, slow=QUICK)]
+    calls = [SlowConnectCall(status=REJECTED, slow=FAST_SECONDS)]
     (scenario,) = streams(BREAKS, 1) if service == "rooms" else calls
     scenario.budget = budget
 
--- a/packages/relay/tests/relay/test_failover_safety.py
+++ b/packages/relay/tests/relay/test_failover_safety.py
@@ -113,8 +113,8 @@
     scenario = StreamScenario(shape, {"a": Engine(stops_after=5), "c": SLOW_START})
 
     def leave(watcher) -> None:
-        scenario.caller.gone = True
-        scenario.job.caller_gone()
+        scenario.caller.disconnected = True
+        scenario.job.on_caller_disconnect()
 
     play(
         scenario.serve((IN_PAUSE, scenario.declare_dead("b")), (IN_PAUSE + 0.1, leave))
@@ -179,7 +179,7 @@
     scenario = StreamScenario(shape, {"a": engine}, descriptor_outage=(0.1, 10.0))
 
     def leave(watcher) -> None:
-        scenario.caller.gone = True
+        scenario.caller.disconnected = True
 
     play(scenario.serve((1.0, leave)))
     assert scenario.ended_at <= 1.5
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -46,7 +46,7 @@
     scenario = stream(SHORT_PAUSE, slack=NO_RETRIES)
     ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
-    assert scenario.caller.whole
+    assert scenario.caller.response_complete
     assert scenario.caller.body == whole_answer()
     assert scenario.firsts == ["a"]
 
@@ -230,5 +230,5 @@
     """
     scenario = stream(Engine(), resume_after=resume_after)
     assert play(scenario.serve()) is None
-    assert scenario.caller.whole
+    assert scenario.caller.response_complete
     assert "Content-Length" not in scenario.caller.headers
--- a/packages/relay/tests/relay/test_path_finder.py
+++ b/packages/relay/tests/relay/test_path_finder.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def finder(shape, small):
-    """What finds paths over two holders of each of two layers."""
+    """A path finder over two holders of each of two layers."""
     routing_state = RoutingState()
     for name, layer in zip("abcd", (0, 0, 1, 1), strict=True):
         routing_state.fleet.put(small(name, layer))
@@ -28,78 +28,76 @@
     return PathFinder(routing_state, Random(1), lambda: 0.0)
 
 
-class Request(SimpleNamespace):
-    """A request, told from others by its identity."""
+class HashableNamespace(SimpleNamespace):
+    """A request, hashable by identity."""
 
     __hash__ = object.__hash__
 
 
-def job_of(avoid=(), firsts=None):
-    """Return what the finder needs of a request."""
-    caller = SimpleNamespace(begun=False)
+def job_of(avoid=(), allowed=None):
+    """Return what the path finder needs of a request."""
+    caller = SimpleNamespace(response_started=False)
     request = SimpleNamespace(prompt=1_000, answer_hint=None, most_answer=0)
-    return Request(
+    return HashableNamespace(
         service="rooms",
         caller=caller,
         avoid=set(avoid),
         request=request,
-        only_firsts=firsts,
+        allowed_endpoints=allowed,
         limited=set(),
     )
 
 
 def fill(finder, *names):
-    """Take all memory of some endpoints."""
+    """Fill the memory of some endpoints."""
     for name in names:
         finder.routing_state.loads.from_peer(name, {name: Load(1, 0, 50_000.0)}, 0.0)
 
 
-def test_a_request_with_no_more_attempts_stays_with_the_endpoints_that_had_it(
+def test_request_without_attempts_left_uses_only_endpoints_it_was_sent_to(
     finder, shape
 ):
-    for firsts in ({"a"}, {"b"}):
-        path = finder.find(job_of(firsts=firsts), shape, DEMAND)
-        assert path.first.endpoint in firsts
+    for allowed in ({"a"}, {"b"}):
+        path = finder.find(job_of(allowed=allowed), shape, DEMAND)
+        assert path.first.endpoint in allowed
     fill(finder, "b")
-    assert isinstance(finder.find(job_of(firsts={"b"}), shape, DEMAND), Refusal)
+    assert isinstance(finder.find(job_of(allowed={"b"}), shape, DEMAND), Refusal)
 
 
-@pytest.mark.parametrize(("begun", "goes_on"), [(True, True), (False, False)])
-def test_a_begun_answer_is_not_lost_for_the_only_holder_that_it_had_left(
-    finder, shape, begun, goes_on
+@pytest.mark.parametrize(("started", "has_path"), [(True, True), (False, False)])
+def test_started_answer_may_use_avoided_endpoints_when_no_others_hold_the_layers(
+    finder, shape, started, has_path
 ):
     job = job_of(avoid="cd")
-    job.caller.begun = begun
+    job.caller.response_started = started
     found = finder.find(job, shape, DEMAND)
-    assert isinstance(found, Refusal) is not goes_on
+    assert isinstance(found, Refusal) is not has_path
     assert isinstance(finder.find(job, shape, DEMAND, besides="cd"), Refusal)
 
 
-def test_endpoints_that_were_left_are_avoided_while_others_hold_their_layers(
-    finder, shape
-):
+def test_avoided_endpoints_are_not_used_while_others_hold_their_layers(finder, shape):
     job = job_of(avoid="c")
-    job.caller.begun = True
+    job.caller.response_started = True
     for _ in range(20):
         assert not finder.find(job, shape, DEMAND).uses("c")
 
 
-def limit(finder, *names):
-    """Let endpoints name limits, without a permit at hand."""
+def name_limits(finder, *names):
+    """Let endpoints name limits, without granting permits."""
     for name in names:
         finder.routing_state.limits.observe(name, 2.0, 0.0, 0.0)
 
 
-def test_a_request_goes_past_an_endpoint_that_is_at_its_limit(finder, shape):
-    limit(finder, "a")
+def test_request_skips_an_endpoint_at_its_limit(finder, shape):
+    name_limits(finder, "a")
     for _ in range(20):
         job = job_of()
         assert finder.find(job, shape, DEMAND).first.endpoint == "b"
     assert finder.routing_state.send_limits.sharing.wanted["a"]
 
 
-def test_a_request_that_only_limited_endpoints_could_serve_is_told_so(finder, shape):
-    limit(finder, "a", "b")
+def test_request_is_overloaded_when_every_first_endpoint_is_at_its_limit(finder, shape):
+    name_limits(finder, "a", "b")
     job = job_of()
     found = finder.find(job, shape, DEMAND)
     assert found.kind is ErrorKind.OVERLOADED
@@ -107,6 +105,6 @@
     assert job.limited
 
 
-def test_a_limited_endpoint_may_be_a_later_part_of_a_path(finder, shape):
-    limit(finder, "c", "d")
+def test_endpoint_at_its_limit_may_be_a_later_part_of_a_path(finder, shape):
+    name_limits(finder, "c", "d")
     assert finder.find(job_of(), shape, DEMAND).uses("cd")
--- a/packages/relay/tests/relay/test_last_requests.py
+++ b/packages/relay/tests/relay/test_requests_while_draining.py
@@ -1,15 +1,14 @@
-"""Tests of what an entry takes that was asked to end.
-
-Callers lost answers that they were reading. An entry was asked to end; three seconds
-later, when the balancer had no other instance to send callers to, it took a stream,
-since answers of that route were usually over in two seconds. This one was as long as
-its caller allowed. The engine wrote on without a fault until the grace time was over,
-and the entry closed the connection in the middle of the answer. The log showed the
-cause: `broken_off` with kind `draining`, events until two milliseconds before it, and
-12 seconds left of the caller's time.
-
-What nearly all answers take is a guess, and the caller of the one that takes longer
-pays for it.
+"""Tests of the requests that a draining entry accepts.
+
+Answers were aborted while callers were reading them. Three seconds after the shutdown
+request, when the balancer had no other instance to send callers to, an entry accepted a
+stream because answers of that route usually ended within two seconds. This one was as
+long as its caller allowed. The engine kept writing until the grace time was over, and
+the entry closed the connection in the middle of the answer. The log showed `broken_off`
+with kind `draining`, events until two milliseconds before it, and 12 seconds left of
+the caller's time.
+
+The usual duration of a route is no bound: the answer that takes longer is aborted.
 """
 
 from __future__ import annotations
@@ -25,8 +24,8 @@
 
 from lacewingcourse.core.pipelines.routing import Organisation, RetrySafety
 from lacewingcourse.core.pipelines.shutdown import LAST_REQUESTS
+from lacewingcourse.relay.drain import Drainer
 from lacewingcourse.relay.gateway import Gateway
-from lacewingcourse.relay.leaving import Departure
 from lacewingcourse.relay.readiness import Readiness
 from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.settings import RelaySettings
@@ -38,23 +37,23 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Seconds in which the entry must have ended.
+#: Seconds from the shutdown request within which the entry must have ended.
 GRACE = 8.0
 #: Events of the longest answer that callers allow, and seconds between two.
 MAX_EVENTS = 173
 INTERVAL = 0.028
 #: Tokens in one event.
 EVENT_TOKENS = 2
-#: Header of a request that tells how many events its answer may have.
+#: Header of a request with the number of events that its answer may have.
 MAX_EVENTS_HEADER = "Max-Events"
-#: Header that tells for how many seconds its caller waits.
+#: Header of a request with the seconds for which its caller waits.
 PATIENCE_HEADER = "Patience"
-#: What is taken unless an operator chooses otherwise.
-DEFAULT = RelaySettings.__attrs_attrs__.last_requests.default
+#: Policy that applies unless an operator chooses another one.
+DEFAULT_POLICY = RelaySettings.__attrs_attrs__.last_requests.default
 
 
 class Caller(CallerStub):
-    """A caller of a request whose answer has a number of events."""
+    """A caller of a request whose answer has a given number of events."""
 
     def __init__(
         self,
@@ -80,18 +79,18 @@
 
 
 @attrs.define
-class LeavingEntry:
+class DrainingEntry:
     """An entry that serves streams until it ends.
 
     Attributes:
-        gateway: Takes requests.
-        departure: Ends the entry.
-        slowness: How many times as long as usual endpoints take for an event.
+        gateway: Serves requests.
+        drainer: Drains the entry.
+        slowdown: Factor by which endpoints take longer than usual for an event.
     """
 
     gateway: Gateway
-    departure: Departure
-    slowness: float = 1.0
+    drainer: Drainer
+    slowdown: float = 1.0
 
     def call(
         self,
@@ -99,32 +98,32 @@
         max_events: int = MAX_EVENTS,
         patience: float | None = None,
     ) -> Caller:
-        """Send it a request whose answer has a number of events."""
+        """Send a request whose answer has a given number of events."""
         caller = Caller(events, max_events, patience, self.interval)
         caller.task = asyncio.ensure_future(self.gateway.serve(caller))
-        self.departure.callers.open.add(caller)
+        self.drainer.callers.open.add(caller)
         caller.task.add_done_callback(
-            lambda task: self.departure.callers.open.discard(caller)
+            lambda task: self.drainer.callers.open.discard(caller)
         )
         return caller
 
     def interval(self) -> float:
         """Return the seconds between two events of an answer."""
-        return INTERVAL * self.slowness
+        return INTERVAL * self.slowdown
 
     async def serve_usual_answers(self) -> None:
-        """Serve answers of which nearly all are over in two seconds."""
+        """Serve answers of which nearly all end within two seconds."""
         callers = [self.call(events) for events in range(41, 73)]
         await asyncio.gather(*(caller.task for caller in callers))
 
 
 async def write_events(job, shape) -> None:
-    """Write an answer as an engine does that is well."""
+    """Write an answer as a healthy engine does."""
     job.caller.begin(200, HTTPHeaders())
     clock = asyncio.get_running_loop().time
     for _ in range(job.caller.events):
         await asyncio.sleep(job.caller.interval())
-        job.progress(clock())
+        job.record_events(clock())
     job.caller.end()
 
 
@@ -147,18 +146,18 @@
 def entry(shape):
     """Return a function that makes an entry in the running loop."""
 
-    def make(choice: str) -> LeavingEntry:
+    def make(policy: str) -> DrainingEntry:
         clock = asyncio.get_running_loop().time
         routing_state = RoutingState()
-        figures = attrs.evolve(shape, event_tokens=EVENT_TOKENS)
+        engine_shape = attrs.evolve(shape, event_tokens=EVENT_TOKENS)
         route = route_of("rooms", RetrySafety.RESUMABLE_STREAM)
         routing_state.table = SimpleNamespace(
-            services={"rooms": SimpleNamespace(shape=figures)},
+            services={"rooms": SimpleNamespace(shape=engine_shape)},
             route=lambda host, path: route,
             organisation=lambda found, key: Organisation(""),
             keys=None,
         )
-        readiness = Readiness(routing_state, GRACE, LAST_REQUESTS.get(choice))
+        readiness = Readiness(routing_state, GRACE, LAST_REQUESTS.get(policy))
         codec = SimpleNamespace(
             decode=decode,
             refusal=lambda refusal, request: (
@@ -181,123 +180,121 @@
             Random(1),
         )
         callers = SimpleNamespace(open=set())
-        return LeavingEntry(gateway, Departure(readiness, callers, gateway, clock))
+        return DrainingEntry(gateway, Drainer(readiness, callers, gateway, clock))
 
     return make
 
 
-async def call_while_leaving(
-    entry: LeavingEntry, after: float, patience: float | None = None
+async def call_while_draining(
+    entry: DrainingEntry, after: float, patience: float | None = None
 ) -> Caller:
-    """Return a caller that met an entry some seconds after it was asked to end.
+    """Return a caller whose request arrives some seconds after the shutdown request.
 
-    Its answer is the longest that it allows, as is one that was begun before.
+    Its answer is the longest that it allows, like one that was started before.
     """
     await entry.serve_usual_answers()
     clock = asyncio.get_running_loop().time
     entry.call(MAX_EVENTS)
     await asyncio.sleep(INTERVAL)
-    entry.gateway.readiness.leave(clock())
-    ending = asyncio.ensure_future(entry.departure.carry_out())
+    entry.gateway.readiness.start_drain(clock())
+    drain_task = asyncio.ensure_future(entry.drainer.run())
     await asyncio.sleep(after)
     caller = entry.call(MAX_EVENTS, patience=patience)
-    await ending
+    await drain_task
     return caller
 
 
-@pytest.mark.parametrize("choice", ["limited", "redirected"])
+@pytest.mark.parametrize("policy", ["limited", "redirected"])
 @pytest.mark.parametrize("after", [0.1, 1.0, 2.0, 2.9, 3.1, 4.5])
-def test_no_answer_is_cut_off_that_was_begun_after_the_request_to_end(
-    entry, choice, after
-):
+def test_answer_started_while_draining_is_not_aborted(entry, policy, after):
     async def test():
-        caller = await call_while_leaving(entry(choice), after)
-        assert not caller.broken
-        assert caller.whole
+        caller = await call_while_draining(entry(policy), after)
+        assert not caller.aborted
+        assert caller.response_complete
 
     play(test())
 
 
-@pytest.mark.parametrize("choice", ["limited", "redirected"])
-def test_an_answer_that_may_outlast_the_end_is_refused_at_once(entry, choice):
+@pytest.mark.parametrize("policy", ["limited", "redirected"])
+def test_request_that_may_outlast_the_drain_is_refused_at_once(entry, policy):
     async def test():
-        caller = await call_while_leaving(entry(choice), 3.0)
+        caller = await call_while_draining(entry(policy), 3.0)
         assert caller.status == 503
         assert float(caller.headers["Retry-After"]) < 0.1
 
     play(test())
 
 
-def test_an_answer_whose_caller_leaves_before_the_end_is_taken(entry):
-    """While all entries end one after the other, callers have no other one."""
+def test_request_with_a_deadline_before_the_drain_deadline_is_accepted(entry):
+    """During a rolling restart callers may have no other entry to go to."""
 
     async def test():
-        caller = await call_while_leaving(entry("limited"), 1.0, patience=6.0)
+        caller = await call_while_draining(entry("limited"), 1.0, patience=6.0)
         assert caller.status == 200
 
     play(test())
 
 
-def test_a_caller_that_can_meet_no_other_instance_yet_is_taken(entry):
-    """The balancer sends it here until it has missed two answers.
+def test_request_is_accepted_until_the_balancer_redirects_callers(entry):
+    """The balancer sends callers here until it has missed two probes.
 
-    Refused, it came back to the same entry, and had no further try.
+    A refused caller returned to the same entry, and had no further retry.
     """
 
     async def test():
-        caller = await call_while_leaving(entry("redirected"), 2.0)
-        assert caller.whole
+        caller = await call_while_draining(entry("redirected"), 2.0)
+        assert caller.response_complete
 
     play(test())
 
 
-def test_an_expectation_takes_an_answer_that_is_then_cut_off(entry):
-    """What was seen, kept as a choice for deployments where no answer is that long."""
+def test_expected_policy_accepts_an_answer_that_is_then_aborted(entry):
+    """The failure above. The policy is kept for deployments without long answers."""
 
     async def test():
-        caller = await call_while_leaving(entry("expected"), 3.0)
-        assert caller.broken
+        caller = await call_while_draining(entry("expected"), 3.0)
+        assert caller.aborted
 
     play(test())
 
 
-def test_an_entry_may_take_nothing_more(entry):
+def test_none_policy_refuses_every_request(entry):
     async def test():
-        caller = await call_while_leaving(entry("none"), 0.1)
+        caller = await call_while_draining(entry("none"), 0.1)
         assert caller.status == 503
 
     play(test())
 
 
-@pytest.mark.parametrize("choice", ["limited", "none"])
-def test_each_request_that_comes_while_ending_is_logged(entry, choice):
+@pytest.mark.parametrize("policy", ["limited", "none"])
+def test_each_request_received_while_draining_is_logged(entry, policy):
     async def test():
-        leaving = entry(choice)
-        await leaving.call(1).task
-        leaving.gateway.readiness.leave(asyncio.get_running_loop().time())
-        await leaving.call(1).task
-        assert leaving.gateway.log.events.count("last_request") == 1
+        draining_entry = entry(policy)
+        await draining_entry.call(1).task
+        draining_entry.gateway.readiness.start_drain(asyncio.get_running_loop().time())
+        await draining_entry.call(1).task
+        assert draining_entry.gateway.log.events.count("last_request") == 1
 
     play(test())
 
 
-@pytest.mark.parametrize("slowness", [1.5, 2.0, 4.0])
+@pytest.mark.parametrize("slowdown", [1.5, 2.0, 4.0])
 @pytest.mark.parametrize("events", [60, 100, 130])
 @pytest.mark.parametrize("after", [2.6, 3.1, 3.4, 4.5])
-def test_no_answer_begun_late_is_cut_off_when_endpoints_slow_down_meanwhile(
-    entry, after, events, slowness
+def test_answer_accepted_late_is_not_aborted_when_endpoints_slow_down(
+    entry, after, events, slowdown
 ):
     async def test():
-        leaving = entry(DEFAULT)
-        await leaving.serve_usual_answers()
-        leaving.gateway.readiness.leave(asyncio.get_running_loop().time())
-        ending = asyncio.ensure_future(leaving.departure.carry_out())
-        leaving.call(MAX_EVENTS)
+        draining_entry = entry(DEFAULT_POLICY)
+        await draining_entry.serve_usual_answers()
+        draining_entry.gateway.readiness.start_drain(asyncio.get_running_loop().time())
+        drain_task = asyncio.ensure_future(draining_entry.drainer.run())
+        draining_entry.call(MAX_EVENTS)
         await asyncio.sleep(after)
-        caller = leaving.call(events, max_events=events)
+        caller = draining_entry.call(events, max_events=events)
         await asyncio.sleep(0.2)
-        leaving.slowness = slowness
-        await ending
-        assert not caller.broken
+        draining_entry.slowdown = slowdown
+        await drain_task
+        assert not caller.aborted
 
     play(test())
--- a/packages/relay/tests/relay/test_request_to_end.py
+++ b/packages/relay/tests/relay/test_sigterm.py
@@ -1,4 +1,4 @@
-"""Tests of how the request to end is taken and from when it counts."""
+"""Tests of the handling of SIGTERM and of when the grace time starts."""
 
 from __future__ import annotations
 
@@ -13,30 +13,32 @@
 from lacewingcourse.relay.routing_state import RoutingState
 
 from .test_caller import REQUEST, read_answer, run, serving_connections
-from .test_leaving import Lines, entry_with
+from .test_drain import LogRecorder, entry_with
 
-#: Seconds in which the entry must have ended.
+#: Seconds from the shutdown request within which the entry must have ended.
 GRACE = 8.0
-#: Present time, and when the loop was known to run before it.
+#: Present time, and when the loop was last known to run before it.
 NOW, BEFORE = 10.0, 9.0
-#: Seconds after which another entry takes connections.
-BACK = 4.0
+#: Seconds after which another entry accepts connections.
+READY_IN = 4.0
 
 
 @pytest.fixture
 def make_application():
-    """Return a function that makes what the handlers of an entry use."""
+    """Return a function that makes the attributes that the signal handlers use."""
 
-    def make(ends_in=lambda: 1.0):
+    def make(log_drain_start=lambda: 1.0):
         readiness = Readiness(RoutingState(), GRACE)
         entry = SimpleNamespace(
             readiness=readiness,
             clock=lambda: NOW,
             watch=SimpleNamespace(previous_look=BEFORE),
-            ingress=SimpleNamespace(leave=readiness.leave, tell_leaving=ends_in),
-            log=Lines(),
+            ingress=SimpleNamespace(
+                start_drain=readiness.start_drain, log_drain_start=log_drain_start
+            ),
+            log=LogRecorder(),
             started=[],
-            told=[],
+            notified=[],
             configuration=SimpleNamespace(
                 freshness=SimpleNamespace(expire=lambda: None)
             ),
@@ -45,27 +47,27 @@
             budget=SimpleNamespace(drop_loans=lambda: None),
             routing_state=RoutingState(),
         )
-        entry._leave = lambda: "departure"
+        entry._leave = lambda: "drain"
         entry._start = entry.started.append
-        entry._tell_peers = lambda: entry.told.append(entry.readiness.leaving)
+        entry._tell_peers = lambda: entry.notified.append(entry.readiness.draining)
         return entry
 
     return make
 
 
-def test_the_grace_time_counts_from_before_a_loop_that_was_held_up(make_application):
+def test_grace_time_starts_before_a_blocked_loop_handles_sigterm(make_application):
     entry = make_application()
     Application._on_term(entry)
-    assert entry.readiness.leaving_since == BEFORE
+    assert entry.readiness.drain_started_at == BEFORE
 
 
-def test_other_entries_are_told_of_the_request_to_end_at_once(make_application):
+def test_peers_are_notified_of_the_drain_at_once(make_application):
     entry = make_application()
     Application._on_term(entry)
-    assert entry.told == [True]
+    assert entry.notified == [True]
 
 
-def test_a_defect_in_the_expected_end_does_not_keep_the_entry_from_ending(
+def test_exception_while_logging_the_drain_does_not_prevent_it(
     make_application,
 ):
     def defect():
@@ -75,39 +77,39 @@
     with pytest.raises(RuntimeError):
         Application._on_term(entry)
     Application._on_term(entry)
-    assert entry.started == ["departure"]
+    assert entry.started == ["drain"]
 
 
-@pytest.mark.parametrize(("leaves", "counted"), [(True, 2.0), (False, 0.0)])
-def test_time_for_which_the_machine_was_suspended_is_gone(
-    make_application, leaves, counted
+@pytest.mark.parametrize(("draining", "counted"), [(True, 2.0), (False, 0.0)])
+def test_suspended_time_counts_towards_the_drain_deadline(
+    make_application, draining, counted
 ):
     entry = make_application()
-    if leaves:
+    if draining:
         Application._on_term(entry)
-    last = entry.readiness.last
+    last = entry.readiness.drain_deadline
     Application._on_thaw(entry, 2.0)
-    assert entry.readiness.last == pytest.approx(last - counted)
+    assert entry.readiness.drain_deadline == pytest.approx(last - counted)
 
 
-@pytest.mark.parametrize("leaves", [True, False])
+@pytest.mark.parametrize("draining", [True, False])
 @pytest.mark.parametrize("kind", [ErrorKind.OVERLOADED, ErrorKind.RETRIES_EXHAUSTED])
-def test_no_caller_is_sent_back_to_entries_that_are_all_ending(kind, leaves):
-    async def lacks(job, shape):
+def test_retry_after_is_raised_while_every_entry_drains(kind, draining):
+    async def refuse(job, shape):
         return Refusal(kind, "no path has memory", retry_after=0.5)
 
     async def test():
-        entry = entry_with(lacks, Lines())
-        entry.ready_in = lambda: BACK
+        entry = entry_with(refuse, LogRecorder())
+        entry.ready_in = lambda: READY_IN
         entry.readiness = Readiness(RoutingState(), GRACE)
-        if leaves:
-            entry.readiness.leave(entry.clock())
+        if draining:
+            entry.readiness.start_drain(entry.clock())
         async with serving_connections(entry.serve) as (address, _):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(REQUEST % 0)
             head, _ = await read_answer(reader)
-        told = BACK if leaves else 0.5
+        expected = READY_IN if draining else 0.5
         assert head.startswith(b"HTTP/1.1 503")
-        assert f"Retry-After: {told}\r\n".encode() in head
+        assert f"Retry-After: {expected}\r\n".encode() in head
 
     run(test)
--- a/packages/relay/tests/relay/test_staleness.py
+++ b/packages/relay/tests/relay/test_staleness.py
@@ -1,4 +1,4 @@
-"""Tests of refusals for what an old version of the configuration does not know."""
+"""Tests of refusals for routes that a stale configuration does not contain."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from lacewingcourse.relay.gateway import Gateway
 from lacewingcourse.relay.job import Job
 from lacewingcourse.relay.routing_state import RoutingState
-from lacewingcourse.relay.staleness import LOOK_PERIOD, LOOKS, StalenessGuard
+from lacewingcourse.relay.staleness import MAX_POLLS, POLL_INTERVAL, StalenessGuard
 
 from .virtual_time import play
 
-#: Age from which the configuration is stale, and an age beyond it, seconds.
+#: Age in seconds above which the configuration is stale, and an age above it.
 LIMIT = 1.2
 STALE = 3.0
 
 
 def table(version: int, *paths: str) -> RoutingTable:
-    """Return a version with routes for some paths."""
+    """Return a configuration version with routes for some paths."""
     routes = {
         path: Route(
             path, "h", path, RetrySafety.ONCE, (("s", 1.0),), 9.0, 1.0, 1.0, 0, 1, False
@@ -40,11 +40,11 @@
 
 
 class Configuration:
-    """A version with an age that a test sets.
+    """A configuration version whose age is set by a test.
 
     Attributes:
-        routing_state: Where it is in force.
-        known_at: When it was last known to be the newest, seconds.
+        routing_state: Local state in which the version is in force.
+        known_at: When it was last known to be current, seconds.
     """
 
     def __init__(self, age: float) -> None:
@@ -55,22 +55,22 @@
         return asyncio.get_running_loop().time() - self.known_at
 
     def confirm(self, newer: RoutingTable | None = None) -> None:
-        """Hear that a version is the newest, this one if no other is given."""
+        """Mark the given version as current, or the present one if none is given."""
         if newer is not None:
             self.routing_state.accept(newer)
         self.known_at = asyncio.get_running_loop().time()
 
 
-def ask(path: str, age: float, confirmed=None) -> tuple[Job | Refusal, float]:
-    """Return what is decided of a request, and after how many seconds.
+def resolve(path: str, age: float, confirmed=None) -> tuple[Job | Refusal, float]:
+    """Return how a request is routed, and after how many seconds.
 
     Args:
-        path: Its path.
-        age: Age of the configuration when it comes, seconds.
-        confirmed: Called with the configuration a little later, None for nothing.
+        path: Path of the request.
+        age: Age of the configuration when the request arrives, seconds.
+        confirmed: Called with the configuration 0.1 s later, None for no call.
     """
 
-    async def asked():
+    async def resolved():
         loop = asyncio.get_running_loop()
         configuration = Configuration(age)
         gateway = Gateway(
@@ -78,7 +78,7 @@
             codec=None,
             calls=None,
             streams=None,
-            readiness=SimpleNamespace(leaving=False, takes=lambda *request: True),
+            readiness=SimpleNamespace(draining=False, accepts=lambda *request: True),
             log=None,
             clock=loop.time,
             ready_in=lambda: 0.0,
@@ -95,39 +95,39 @@
         )
         if confirmed is not None:
             loop.call_later(0.1, confirmed, configuration)
-        caller, began_at = SimpleNamespace(begun=False), loop.time()
-        decided = await gateway._certain_job(caller, request)
-        return decided, loop.time() - began_at
+        caller, began_at = SimpleNamespace(response_started=False), loop.time()
+        result = await gateway._resolve_job(caller, request)
+        return result, loop.time() - began_at
 
-    return play(asked())
+    return play(resolved())
 
 
-def test_what_the_newest_version_does_not_know_is_refused_at_once():
-    refusal, took = ask("/new/", age=0.5)
+def test_unknown_route_is_refused_at_once_when_configuration_is_current():
+    refusal, took = resolve("/new/", age=0.5)
     assert (refusal.kind, took) == (ErrorKind.UNKNOWN_RESOURCE, 0.0)
 
 
-def test_a_request_that_an_old_version_knows_does_not_wait():
-    job, took = ask("/known/", age=STALE)
+def test_known_route_does_not_wait_when_configuration_is_stale():
+    job, took = resolve("/known/", age=STALE)
     assert isinstance(job, Job)
     assert took == 0.0
 
 
-def test_what_an_old_version_does_not_know_is_not_said_to_be_missing():
-    refusal, took = ask("/new/", age=STALE)
+def test_unknown_route_is_not_ready_when_configuration_is_stale():
+    refusal, took = resolve("/new/", age=STALE)
     assert refusal.kind is ErrorKind.NOT_READY
     assert refusal.answer.status == 503
     assert refusal.retry_after > 0
-    assert took == pytest.approx(LOOKS * LOOK_PERIOD)
+    assert took == pytest.approx(MAX_POLLS * POLL_INTERVAL)
 
 
-def test_a_request_waits_for_the_version_that_knows_it():
-    job, took = ask("/new/", STALE, lambda known: known.confirm(table(2, "/new/")))
+def test_request_waits_for_the_version_with_its_route():
+    job, took = resolve("/new/", STALE, lambda known: known.confirm(table(2, "/new/")))
     assert isinstance(job, Job)
-    assert took < LOOKS * LOOK_PERIOD
+    assert took < MAX_POLLS * POLL_INTERVAL
 
 
-def test_what_is_confirmed_to_be_missing_is_refused():
-    refusal, took = ask("/new/", STALE, lambda known: known.confirm())
+def test_unknown_route_is_refused_once_configuration_is_confirmed():
+    refusal, took = resolve("/new/", STALE, lambda known: known.confirm())
     assert refusal.kind is ErrorKind.UNKNOWN_RESOURCE
-    assert took < LOOKS * LOOK_PERIOD
+    assert took < MAX_POLLS * POLL_INTERVAL
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -53,7 +53,7 @@
         path=path,
         route=SimpleNamespace(gap=0.2, objective=0.5),
         may_move=may_move,
-        current=current,
+        current_exchange=current,
         avoid=set(),
         watched=None,
     )
@@ -71,7 +71,7 @@
                 suspects.suspect(endpoint, reason, 0.0, silent=True)
 
         finder = SimpleNamespace(
-            is_idle=lambda job, avoid: idle, unused=lambda besides: unused
+            is_idle=lambda job, avoid: idle, unused_address=lambda besides: unused
         )
         log = SimpleNamespace(belief=lambda event, **fields: events.append(event))
         return StallWatcher(
@@ -113,7 +113,7 @@
     watcher = make_watcher(EngineReport((StalledRequest("r", "b:1"),)))
     job = make_job(path_of("a", "b"))
     check_after_silence(watcher, job, 0.2)
-    assert isinstance(job.current.arrivals.get_nowait(), Stalled)
+    assert isinstance(job.current_exchange.arrivals.get_nowait(), Stalled)
     assert job.avoid == {"b"}
     assert watcher.suspects.excluded(0.1) == {"b"}
 
@@ -123,7 +123,7 @@
     job = make_job(path_of("a", "b"))
     check_after_silence(watcher, job, 0.2)
     assert watcher.reports.probed == ["a:1", "b:1"]
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert watcher.suspects.excluded(0.1) == set()
 
 
@@ -149,7 +149,7 @@
     check_after_silence(watcher, job, 0.2)
     assert {"a:1", "b:1"} <= set(watcher.reports.probed)
     assert watcher.suspects.excluded(0.2) == set()
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert set(events) == {"not_suspected"}
 
 
@@ -187,7 +187,7 @@
         watcher.check(0.2)
 
     asyncio.run(run())
-    assert silent.current.arrivals.empty()
+    assert silent.current_exchange.arrivals.empty()
 
 
 def test_a_silent_stream_moves_at_once_when_a_peer_reported_the_cause(make_watcher):
@@ -203,7 +203,7 @@
     watcher = make_watcher(EngineReport((StalledRequest("r", "b:1"),)))
     job = make_job(path_of("a", "b"), may_move=False)
     check_after_silence(watcher, job, 0.2)
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
 
 
 class OneSilent:
@@ -248,19 +248,19 @@
 def test_streams_move_early_on_an_idle_fleet(make_watcher):
     first, second = silence_two_streams(make_watcher(EngineReport(), idle=True))
     assert (first.avoid, second.avoid) == ({"x"}, {"x"})
-    assert isinstance(first.current.arrivals.get_nowait(), Stalled)
+    assert isinstance(first.current_exchange.arrivals.get_nowait(), Stalled)
 
 
 def test_streams_do_not_move_early_on_a_busy_fleet(make_watcher):
     jobs = silence_two_streams(make_watcher(EngineReport(), idle=False))
-    assert all(job.current.arrivals.empty() for job in jobs)
+    assert all(job.current_exchange.arrivals.empty() for job in jobs)
 
 
 def test_streams_move_off_a_restarted_endpoint(make_watcher):
     watcher = make_watcher(EngineReport(born=STARTED_MS + 1))
     job = make_job(path_of("a", "b"))
     check_after_silence(watcher, job, 0.2)
-    assert isinstance(job.current.arrivals.get_nowait(), Stalled)
+    assert isinstance(job.current_exchange.arrivals.get_nowait(), Stalled)
     assert job.avoid == {"a"}
     assert watcher.suspects.excluded(0.1) == set()
 
@@ -271,7 +271,7 @@
     watcher = make_watcher(Undecodable("no JSON"))
     job = make_job(path_of("a", "b"))
     check_after_silence(watcher, job, 0.2)
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert watcher.suspects.excluded(0.1) == set()
     assert events == ["report_unreadable"] * 2
 
@@ -294,7 +294,7 @@
     watcher.reports = OneDead("b:1")
     job = make_job(path_of("a", "b", "c"))
     check_after_silence(watcher, job, 0.13)
-    assert isinstance(job.current.arrivals.get_nowait(), Stalled)
+    assert isinstance(job.current_exchange.arrivals.get_nowait(), Stalled)
     assert job.avoid == {"b"}
     assert watcher.suspects.excluded(0.2) == {"b"}
 
@@ -310,7 +310,7 @@
     job = make_job(path_of("a"))
     check_after_silence(watcher, job, 0.13)
     assert answers == []
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert watcher.suspects.excluded(0.2) == set()
 
 
@@ -320,7 +320,7 @@
     watcher.clock = lambda: next(times)
     job = make_job(path_of("a"))
     check_after_silence(watcher, job, 0.13)
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert watcher.suspects.excluded(0.2) == set()
 
 
@@ -329,7 +329,7 @@
     job = make_job(path_of("a"))
     check_after_silence(watcher, job, 0.13)
     assert watcher.speeds.of("a", 0.1) == 5.0
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
 
 
 def test_a_slow_endpoint_is_probed_again_while_streams_use_it(make_watcher):
@@ -378,5 +378,5 @@
     job = make_job(path_of("a", "b"))
     check_after_silence(watcher, job, 0.2)
     assert watcher.reports.probed == ["a:1", "b:1"]
-    assert job.current.arrivals.empty()
+    assert job.current_exchange.arrivals.empty()
     assert job.avoid == set()
--- a/packages/relay/tests/relay/test_version_changes.py
+++ b/packages/relay/tests/relay/test_version_changes.py
@@ -66,10 +66,10 @@
     """Return a request of which events may have been forwarded."""
     return SimpleNamespace(
         service="rooms",
-        caller=SimpleNamespace(begun=begun),
+        caller=SimpleNamespace(response_started=begun),
         avoid=set(),
         request=SimpleNamespace(prompt=1_000, answer_hint=None, most_answer=0),
-        only_firsts=None,
+        allowed_endpoints=None,
         limited=set(),
     )
 
@@ -176,7 +176,7 @@
         job.path = routing_state.paths("rooms", shape, 0.0)[0]
         job.route = SimpleNamespace(gap=0.2, objective=0.5)
         job.may_move, job.watched = True, None
-        job.current = SimpleNamespace(arrivals=asyncio.Queue())
+        job.current_exchange = SimpleNamespace(arrivals=asyncio.Queue())
         watcher.begin(job, -2.0)
         watcher.progress(job, -1.0)
         watcher.probe(job.path.first, 0.0)
@@ -184,4 +184,4 @@
             await asyncio.sleep(0)
         return job
 
-    assert asyncio.run(run()).current.arrivals.empty()
+    assert asyncio.run(run()).current_exchange.arrivals.empty()
