--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -314,9 +314,9 @@
         self._start(self.stalls.run())
         self._start(self.watch.run())
         self._start(self.reloading.run())
-        self.log.belief("started", zone=self.settings.zone)
+        self.log.log_event("started", zone=self.settings.zone)
         await self.ended.wait()
-        self.log.belief("ended", open=len(self.ingress.callers.open))
+        self.log.log_event("ended", open=len(self.ingress.callers.open))
 
     def _listen(self, server: HTTPServer, address: str) -> None:
         host, port = split_address(address)
@@ -351,14 +351,14 @@
         now = self.clock()
         for endpoint in endpoints:
             self.routing_state.suspects.suspect(endpoint, reason, now, silent=True)
-        self.log.belief("suspected", endpoints=list(endpoints), reason=reason)
+        self.log.log_event("suspected", endpoints=list(endpoints), reason=reason)
         self._tell_peers()
 
     def _on_start(self, name: str, born: int) -> bool:
         """Take from an endpoint when it started; tell whether that is new."""
         if not self.routing_state.fleet.note_start(name, born):
             return False
-        self.log.belief("endpoint_restarted", endpoint=name, born=born)
+        self.log.log_event("endpoint_restarted", endpoint=name, born=born)
         return True
 
     def _on_denied(self, service: str, request: str) -> None:
@@ -378,7 +378,7 @@
 
     def _on_lag(self, late: float, section: Section) -> None:
         """Tell that the loop stood still, and what ran meanwhile."""
-        self.log.belief(
+        self.log.log_event(
             "loop_late",
             late_ms=round(late * 1000),
             work=section.name,
@@ -387,7 +387,7 @@
 
     def _on_thaw(self, slept: float) -> None:
         """Trust nothing that was learned before this process was frozen."""
-        self.log.belief("thawed", slept_ms=round(slept * 1000))
+        self.log.log_event("thawed", slept_ms=round(slept * 1000))
         self.configuration.freshness.expire()
         self.directory.freshness.expire()
         self.holder.lease = None
--- a/packages/relay/src/lacewingcourse/relay/decisions.py
+++ b/packages/relay/src/lacewingcourse/relay/decisions.py
@@ -220,7 +220,7 @@
             limit_ms=_ms(time.limit),
         )
 
-    def belief(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Tell of a change of what this process believes."""
         self._line(event, **fields)
 
--- a/packages/relay/src/lacewingcourse/relay/duty_holder.py
+++ b/packages/relay/src/lacewingcourse/relay/duty_holder.py
@@ -118,7 +118,7 @@
         taken = await self.store.take(self.name, found)
         if isinstance(taken, Lease):
             self.follow(taken, self.clock())
-            self.log.belief("duty_taken", fencing=taken.fencing)
+            self.log.log_event("duty_taken", fencing=taken.fencing)
 
     def give_back(self) -> None:
         """Let another entry take the duty; until one does it stays here."""
--- a/packages/relay/src/lacewingcourse/relay/followers.py
+++ b/packages/relay/src/lacewingcourse/relay/followers.py
@@ -127,7 +127,7 @@
             return
         self.in_sync = origin == STORE_ORIGIN
         age = self.freshness.age(self.clock())
-        self.log.belief(
+        self.log.log_event(
             "configuration",
             version=table.version,
             origin=origin,
@@ -140,7 +140,7 @@
         self.on_read(_read_result(update))
         if not update.records:
             return
-        self.log.belief(
+        self.log.log_event(
             "configuration_read",
             records=update.records,
             behind=update.behind,
@@ -150,17 +150,19 @@
 
     def log_unreadable(self, error: Undecodable, origin: str) -> None:
         """Log a version that cannot be decoded; the one in force stays."""
-        self.log.belief("configuration_unreadable", reason=error.reason, origin=origin)
+        self.log.log_event(
+            "configuration_unreadable", reason=error.reason, origin=origin
+        )
 
     def _note_unavailable(self, error: Unavailable) -> None:
         if self.reachable:
             self.reachable = False
-            self.log.belief("configuration_source_lost", reason=error.reason)
+            self.log.log_event("configuration_source_lost", reason=error.reason)
 
     def _note_available(self) -> None:
         if not self.reachable:
             self.reachable = True
-            self.log.belief("configuration_source_regained")
+            self.log.log_event("configuration_source_regained")
 
 
 def _read_result(update: ConfigurationNews) -> str:
@@ -233,7 +235,7 @@
             if self.freshness.due(self.rank(), self.boot_clock()):
                 await self.poll()
             for endpoint in self.routing_state.fleet.expire(self.clock()):
-                self.log.belief("endpoint_lapsed", endpoint=endpoint)
+                self.log.log_event("endpoint_lapsed", endpoint=endpoint)
             await asyncio.sleep(CHECK_PERIOD)
 
     async def poll(self) -> None:
@@ -245,12 +247,12 @@
         if isinstance(update, Unavailable):
             if self.reachable:
                 self.reachable = False
-                self.log.belief("directory_lost", reason=update.reason)
+                self.log.log_event("directory_lost", reason=update.reason)
             self.freshness.failed(boot_now, self.jitter())
             return
         if not self.reachable:
             self.reachable = True
-            self.log.belief("directory_regained", known_for=now - fleet.known_at)
+            self.log.log_event("directory_regained", known_for=now - fleet.known_at)
         fleet.confirm(sent_at)
         revision = fleet.revision
         self.apply(update, now)
@@ -279,7 +281,7 @@
                 DirectoryNews(True, entries, snapshot.position), now, log_changes=False
             )
         if changed:
-            self.log.belief(
+            self.log.log_event(
                 "endpoints",
                 origin=peer,
                 position=snapshot.position,
@@ -308,7 +310,7 @@
                 if self._update_endpoint(entry.endpoint, log_changes):
                     changed.append(entry.endpoint)
             elif fleet.remove(entry.name, now):
-                self.log.belief("endpoint_gone", endpoint=entry.name)
+                self.log.log_event("endpoint_gone", endpoint=entry.name)
         for unreadable in update.unreadable:
             self._note_unreadable(unreadable)
         if update.whole:
@@ -326,7 +328,9 @@
         if log_changes and changed:
             self._log_endpoint(endpoint)
         if effect is EntryEffect.RESTARTED:
-            self.log.belief("endpoint_restarted", endpoint=endpoint.id, ended=known.id)
+            self.log.log_event(
+                "endpoint_restarted", endpoint=endpoint.id, ended=known.id
+            )
             self.on_restart(known.id)
         return changed
 
@@ -335,14 +339,14 @@
         self.on_unreadable()
         if entry in self.logged_unreadable:
             return
-        self.log.belief("entry_unreadable", endpoint=entry.name, reason=entry.reason)
+        self.log.log_event("entry_unreadable", endpoint=entry.name, reason=entry.reason)
         self.logged_unreadable[entry] = None
         while len(self.logged_unreadable) > MAX_REMEMBERED_UNREADABLE:
             del self.logged_unreadable[next(iter(self.logged_unreadable))]
 
     def _log_endpoint(self, endpoint: Endpoint) -> None:
         """Log what is known of an endpoint from now on."""
-        self.log.belief(
+        self.log.log_event(
             "endpoint",
             endpoint=endpoint.id,
             address=endpoint.address,
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -175,7 +175,7 @@
             message.reads,
         )
         if not was_alive and not message.leaving:
-            self.log.belief("peer_heard", peer=message.name, address=message.address)
+            self.log.log_event("peer_heard", peer=message.name, address=message.address)
         # The first message of an entry has no echo and is applied all the same.
         transit = self.transit_time(message)
         transit = transit if isfinite(transit) else 0.0
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -119,4 +119,4 @@
     def tell_leaving(self) -> None:
         """Tell what is open and when this entry expects to have ended."""
         ends_in = self.endings.ends_in()
-        self.log.belief("leaving", open=len(self.callers.open), ends_in=ends_in)
+        self.log.log_event("leaving", open=len(self.callers.open), ends_in=ends_in)
--- a/packages/relay/src/lacewingcourse/relay/limit_permits.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_permits.py
@@ -158,7 +158,7 @@
         now, draw = self.clock(), self.rng.random()
         sharing = self.limits.sharing
         sharing.take(endpoint, grant, issuer_name, asked_at, now, draw)
-        self.log.belief(
+        self.log.log_event(
             "permits",
             endpoint=endpoint,
             wanted=demand.count,
--- a/packages/relay/src/lacewingcourse/relay/limit_reader.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_reader.py
@@ -50,7 +50,7 @@
             return
         if isinstance(named, Undecodable):
             self.on_unreadable()
-            self.log.belief(
+            self.log.log_event(
                 "limit_unreadable", endpoint=sending.incarnation, reason=named.reason
             )
             return
--- a/packages/relay/src/lacewingcourse/relay/peers.py
+++ b/packages/relay/src/lacewingcourse/relay/peers.py
@@ -270,7 +270,7 @@
         message = decode(body, kind)
         if isinstance(message, Undecodable):
             self.on_unreadable()
-            self.gossip.log.belief(
+            self.gossip.log.log_event(
                 "message_unreadable", reason=message.reason, origin=origin
             )
             return None
--- a/packages/relay/src/lacewingcourse/relay/placement_duty.py
+++ b/packages/relay/src/lacewingcourse/relay/placement_duty.py
@@ -259,7 +259,7 @@
         outcome = await self.orders.place(
             endpoint, assignment.layers, lease.fencing, accepted
         )
-        self.log.belief(
+        self.log.log_event(
             "order",
             endpoint=endpoint.id,
             layers=[assignment.layers.start, assignment.layers.end],
--- a/packages/relay/src/lacewingcourse/relay/retry_loans.py
+++ b/packages/relay/src/lacewingcourse/relay/retry_loans.py
@@ -96,7 +96,7 @@
         )
         count = sum(self._decode_loan(answer) for answer in answers if answer)
         self.budget.borrow(service, count, asked_at)
-        self.log.belief(
+        self.log.log_event(
             "retries_borrowed",
             service=service,
             wanted=wanted,
--- a/packages/relay/src/lacewingcourse/relay/settings_watch.py
+++ b/packages/relay/src/lacewingcourse/relay/settings_watch.py
@@ -39,7 +39,7 @@
 
     def on_signal(self) -> None:
         """Look at once, as the platform asks."""
-        self.log.belief("reload_asked")
+        self.log.log_event("reload_asked")
         self.look()
 
     def look(self) -> None:
@@ -48,7 +48,7 @@
         if found is None:
             return
         if isinstance(found, str):
-            self.log.belief("reload_refused", reason=found)
+            self.log.log_event("reload_refused", reason=found)
             return
         self.apply(found)
-        self.log.belief("reloaded", seeds=list(found.seeds))
+        self.log.log_event("reloaded", seeds=list(found.seeds))
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -193,7 +193,7 @@
             self.asking.discard(part.address)
         if isinstance(found, Undecodable):
             # It answered, so it is no dead one; what it says is not known.
-            self.log.belief(
+            self.log.log_event(
                 "report_unreadable", endpoint=part.endpoint, reason=found.reason
             )
         elif isinstance(found, Unavailable):
@@ -201,7 +201,7 @@
             if self.clock() - started < ANSWER_TIMEOUT + SECOND_QUESTION + PERIOD:
                 self._dead({part.endpoint}, f"no report: {found.reason}")
         elif isinstance(found, NobodyAnswers):
-            self.log.belief(
+            self.log.log_event(
                 "not_suspected", endpoint=part.endpoint, compared=found.compared
             )
         elif self.on_start(part.name, found.born):
--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -56,7 +56,7 @@
         )
         nothing = SimpleNamespace(
             leaving=False,
-            belief=lambda *args, **fields: None,
+            log_event=lambda *args, **fields: None,
             limit=lambda *fields: None,
         )
         book = PeerBook(name, zone)
--- a/packages/relay/tests/relay/stream_play.py
+++ b/packages/relay/tests/relay/stream_play.py
@@ -165,7 +165,7 @@
     def __init__(self) -> None:
         self.events: list[str] = []
 
-    def belief(self, event: str, **fields) -> None:
+    def log_event(self, event: str, **fields) -> None:
         self.events.append(event)
 
     def __getattr__(self, name: str):
--- a/packages/relay/tests/relay/test_configuration_follower.py
+++ b/packages/relay/tests/relay/test_configuration_follower.py
@@ -53,7 +53,7 @@
 @pytest.fixture
 def follower():
     """Return a follower with a source and a clock set by the test."""
-    log = SimpleNamespace(belief=lambda *args, **fields: None)
+    log = SimpleNamespace(log_event=lambda *args, **fields: None)
     source = Source()
     return ConfigurationFollower(
         source,
--- a/packages/relay/tests/relay/test_decisions.py
+++ b/packages/relay/tests/relay/test_decisions.py
@@ -27,7 +27,7 @@
                 continue
             name = getattr(node.func, "attr", "")
             first = node.args[0]
-            if name in ("belief", "_line") and isinstance(first, ast.Constant):
+            if name in ("log_event", "_line") and isinstance(first, ast.Constant):
                 found.add(first.value)
     return found
 
--- a/packages/relay/tests/relay/test_duty_holder.py
+++ b/packages/relay/tests/relay/test_duty_holder.py
@@ -19,7 +19,7 @@
     """Return a function that makes what an entry named `me` knows of the holder."""
 
     def make(store, clock=lambda: 0.0, rank=0, leaving=False):
-        log = SimpleNamespace(belief=lambda event, **fields: None)
+        log = SimpleNamespace(log_event=lambda event, **fields: None)
         return DutyHolder("me", store, log, clock, lambda: rank, lambda: leaving)
 
     return make
--- a/packages/relay/tests/relay/test_large_duty.py
+++ b/packages/relay/tests/relay/test_large_duty.py
@@ -47,7 +47,7 @@
 def large():
     """68 entries that have just started, with one lease store."""
     store = SharedLeases()
-    log = SimpleNamespace(belief=lambda event, **fields: None)
+    log = SimpleNamespace(log_event=lambda event, **fields: None)
 
     def make_holder(name, book, clock):
         return DutyHolder(
--- a/packages/relay/tests/relay/test_limit_reader.py
+++ b/packages/relay/tests/relay/test_limit_reader.py
@@ -19,7 +19,7 @@
     lines = []
     log = SimpleNamespace(
         limit=lambda *fields: lines.append(("limit", *fields)),
-        belief=lambda event, **fields: lines.append((event, fields["endpoint"])),
+        log_event=lambda event, **fields: lines.append((event, fields["endpoint"])),
     )
     made = LimitReader(LimitTable(), log, lambda: 2.0)
     return SimpleNamespace(observe=made.observe, limits=made.limits, lines=lines)
--- a/packages/relay/tests/relay/test_placement_duty.py
+++ b/packages/relay/tests/relay/test_placement_duty.py
@@ -40,7 +40,7 @@
     """Return a function that makes the duty of an entry named `me`."""
 
     def make(store, orders=None, clock=lambda: 0.0, reports=None):
-        log = SimpleNamespace(belief=lambda event, **fields: None)
+        log = SimpleNamespace(log_event=lambda event, **fields: None)
         holder = DutyHolder("me", store, log, clock, lambda: 0, lambda: False)
         return PlacementDuty(
             holder, orders, reports or Reports(), RoutingState(), log, clock, False
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -69,7 +69,7 @@
         finder = SimpleNamespace(
             is_idle=lambda job, avoid: idle, unused=lambda besides: unused
         )
-        log = SimpleNamespace(belief=lambda event, **fields: events.append(event))
+        log = SimpleNamespace(log_event=lambda event, **fields: events.append(event))
         return StallWatcher(
             Reports(found),
             suspects,
