--- a/packages/relay/tests/relay/test_calls.py
+++ b/packages/relay/tests/relay/test_calls.py
@@ -39,7 +39,7 @@
 
 from .routes import route_of
 from .stream_play import NONE, PLENTY, Decisions
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Seconds that a slow endpoint takes, and a quick one.
 SLOW = 1.0
@@ -163,21 +163,21 @@
 @pytest.mark.parametrize("lacks", [{"slack": NONE}, {"endpoints": 1}])
 def test_a_slow_endpoint_is_waited_for_where_nothing_replaces_it(lacks):
     played = CallPlay(**lacks)
-    answer = play(played.serve())
+    answer = run_virtual(played.serve())
     assert isinstance(answer, WholeAnswer)
     assert len(played.sends) == 1
 
 
 def test_a_slow_endpoint_is_left_for_one_that_may_be_asked():
     played = CallPlay()
-    answer = play(played.serve())
+    answer = run_virtual(played.serve())
     assert isinstance(answer, WholeAnswer)
     assert [send.abandoned for send in played.sends] == [True, False]
 
 
 def test_a_call_that_may_run_once_waits_for_its_endpoint():
     played = CallPlay(retry_safety=RetrySafety.ONCE)
-    assert isinstance(play(played.serve()), WholeAnswer)
+    assert isinstance(run_virtual(played.serve()), WholeAnswer)
     assert len(played.sends) == 1
 
 
@@ -185,7 +185,7 @@
 def test_a_call_is_answered_although_kept_connections_were_dropped(retry_safety):
     """Its callers got 502 although the endpoint lived."""
     played = CallPlay(slack=NONE, endpoints=1, drops=True, retry_safety=retry_safety)
-    assert isinstance(play(played.serve()), WholeAnswer)
+    assert isinstance(run_virtual(played.serve()), WholeAnswer)
 
 
 @pytest.mark.parametrize(
@@ -198,7 +198,7 @@
 def test_what_lies_with_no_endpoint_takes_none_from_other_calls(cause, kind):
     """Its endpoint was taken for one that cannot be reached, and left out for all."""
     played = CallPlay(unsent=cause)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert ended.kind is kind
     assert ended.outcome is Outcome.NOT_RUN
     assert played.routing_state.suspects.excluded(0.0) == set()
@@ -206,7 +206,7 @@
 
 def test_a_call_that_no_endpoint_ran_is_refused_as_such():
     """Its caller was told that it may have run, and not when to come back."""
-    ended = play(CallPlay(slack=NONE, status=REJECTED).serve())
+    ended = run_virtual(CallPlay(slack=NONE, status=REJECTED).serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
     assert ended.outcome is Outcome.NOT_RUN
     assert ended.retry_after is not None
@@ -221,7 +221,7 @@
 
     played.codec.head = fails
     with pytest.raises(ValueError, match="a defect"):
-        play(played.serve())
+        run_virtual(played.serve())
     assert [send.abandoned for send in played.sends] == [True]
 
 
@@ -234,14 +234,14 @@
 def test_a_call_goes_past_an_endpoint_that_is_at_its_limit():
     played = CallPlay(slow=QUICK)
     name_limit(played, "e0")
-    assert isinstance(play(played.serve()), WholeAnswer)
+    assert isinstance(run_virtual(played.serve()), WholeAnswer)
     assert played.sent_to == ["e1"]
 
 
 def test_a_call_that_only_limited_endpoints_could_serve_may_come_back():
     played = CallPlay()
     name_limit(played, "e0", "e1")
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert ended.kind is ErrorKind.OVERLOADED
     assert ended.outcome is Outcome.NOT_RUN
     assert ended.retry_after > 0
@@ -253,7 +253,7 @@
     name_limit(played, "e0", "e1")
     grant = Grant("i", (0.0,), 10.0)
     played.routing_state.send_limits.sharing.take("e0", grant, "i", 0.0, 0.0, 0.0)
-    assert isinstance(play(played.serve()), WholeAnswer)
+    assert isinstance(run_virtual(played.serve()), WholeAnswer)
     assert played.sent_to == ["e0"]
 
 
@@ -263,6 +263,6 @@
     name_limit(played, "e0")
     grant = Grant("i", (0.0,), 10.0)
     played.routing_state.send_limits.sharing.take("e0", grant, "i", 0.0, 0.0, 0.0)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert ended.outcome is Outcome.UNKNOWN
     assert played.sent_to == ["e0"]
--- a/packages/relay/tests/relay/test_endings.py
+++ b/packages/relay/tests/relay/test_endings.py
@@ -22,7 +22,7 @@
 from .network import Network
 from .restarts import GRACE, INTERVAL, MAX_EVENTS, Restarts
 from .routes import route_of
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: When the entry was asked to end, and the time of the tests.
 ASKED, NOW = 10.0, 12.0
@@ -150,7 +150,7 @@
         await asyncio.sleep(0.5)
         assert heard_end(restarts, "entry-1") == pytest.approx([end, end], abs=0.1)
 
-    play(test())
+    run_virtual(test())
 
 
 def test_the_line_of_a_refusal_tells_what_its_caller_waits_for(monkeypatch):
--- a/packages/relay/tests/relay/test_last_requests.py
+++ b/packages/relay/tests/relay/test_last_requests.py
@@ -33,7 +33,7 @@
 
 from .routes import route_of
 from .stream_play import CallerStub, Decisions
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -215,7 +215,7 @@
         assert not caller.broken
         assert caller.whole
 
-    play(test())
+    run_virtual(test())
 
 
 @pytest.mark.parametrize("choice", ["limited", "redirected"])
@@ -225,7 +225,7 @@
         assert caller.status == 503
         assert float(caller.headers["Retry-After"]) < 0.1
 
-    play(test())
+    run_virtual(test())
 
 
 def test_an_answer_whose_caller_leaves_before_the_end_is_taken(entry):
@@ -235,7 +235,7 @@
         caller = await call_while_leaving(entry("limited"), 1.0, patience=6.0)
         assert caller.status == 200
 
-    play(test())
+    run_virtual(test())
 
 
 def test_a_caller_that_can_meet_no_other_instance_yet_is_taken(entry):
@@ -248,7 +248,7 @@
         caller = await call_while_leaving(entry("redirected"), 2.0)
         assert caller.whole
 
-    play(test())
+    run_virtual(test())
 
 
 def test_an_expectation_takes_an_answer_that_is_then_cut_off(entry):
@@ -258,7 +258,7 @@
         caller = await call_while_leaving(entry("expected"), 3.0)
         assert caller.broken
 
-    play(test())
+    run_virtual(test())
 
 
 def test_an_entry_may_take_nothing_more(entry):
@@ -266,7 +266,7 @@
         caller = await call_while_leaving(entry("none"), 0.1)
         assert caller.status == 503
 
-    play(test())
+    run_virtual(test())
 
 
 @pytest.mark.parametrize("choice", ["limited", "none"])
@@ -278,7 +278,7 @@
         await leaving.call(1).task
         assert leaving.gateway.log.events.count("last_request") == 1
 
-    play(test())
+    run_virtual(test())
 
 
 @pytest.mark.parametrize("slowness", [1.5, 2.0, 4.0])
@@ -300,4 +300,4 @@
         await ending
         assert not caller.broken
 
-    play(test())
+    run_virtual(test())
--- a/packages/relay/tests/relay/test_limit_permits.py
+++ b/packages/relay/tests/relay/test_limit_permits.py
@@ -20,7 +20,7 @@
 from lacewingcourse.relay.small_server import ServerRequest
 
 from .stream_play import Decisions
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 NAMES = ["e0", "e1", "e2"]
 ENDPOINT = "a"
@@ -95,7 +95,7 @@
         assert await entries.wait_for_permit(name, 2.0, 1.1)
         assert set(entries.contacted) == ({ISSUER} if name == OTHER else set())
 
-    play(test())
+    run_virtual(test())
 
 
 def test_an_issuer_that_does_not_answer_is_asked_again_after_a_delay():
@@ -105,7 +105,7 @@
         assert not await entries.wait_for_permit(OTHER, 2.0, 1.0)
         assert len(entries.contacted) <= 6
 
-    play(test())
+    run_virtual(test())
 
 
 def test_an_issuer_takes_a_limit_from_a_permit_request():
@@ -114,7 +114,7 @@
         await entries.wait_for_permit(OTHER, 2.0, 1.0)
         assert entries.exchanges[ISSUER].limits.table.named(ENDPOINT) == 2.0
 
-    play(test())
+    run_virtual(test())
 
 
 @pytest.mark.parametrize("leaves", [True, False])
@@ -128,7 +128,7 @@
         assert decode(reply.body, PermitReply).issuer == ""
         assert decode(reply.body, PermitReply).delays == []
 
-    play(test())
+    run_virtual(test())
 
 
 def test_an_unreadable_message_gives_no_permit():
@@ -139,4 +139,4 @@
         assert exchange._decode_grant(b"[]").delays == ()
         assert entries.unreadable == 2
 
-    play(test())
+    run_virtual(test())
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -25,7 +25,7 @@
     StreamPlay,
     whole_answer,
 )
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: An engine that stands still for a moment after its fifth event.
 SHORT_PAUSE = Engine(pause_after=5, pause=0.4)
@@ -45,7 +45,7 @@
 
 def test_a_run_stays_open_where_no_retry_is_left(stream):
     played = stream(SHORT_PAUSE, slack=NONE)
-    ended = play(played.serve((IN_PAUSE, played.dies("b"))))
+    ended = run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert ended is None
     assert played.caller.whole
     assert played.caller.body == whole_answer()
@@ -55,7 +55,7 @@
 def test_a_run_stays_open_where_no_other_path_has_room(stream):
     """Room was waited for with the run closed already, until the caller left."""
     played = stream(SHORT_PAUSE, room_from=100.0)
-    ended = play(played.serve((IN_PAUSE, played.dies("b"))))
+    ended = run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert ended is None
     assert played.caller.body == whole_answer()
     assert played.firsts == ["a"]
@@ -64,14 +64,14 @@
 @pytest.mark.parametrize("lacks", [{"slack": NONE}, {"room_from": 100.0}])
 def test_silence_alone_ends_no_run_that_nothing_replaces(stream, lacks):
     played = stream(Engine(pause_after=5, pause=1.9), **lacks)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert ended is None
     assert played.caller.body == whole_answer()
 
 
 def test_a_stream_goes_on_elsewhere_as_soon_as_that_is_possible(stream):
     played = stream(Engine(pause_after=5, pause=30.0), room_from=1.0)
-    ended = play(played.serve((IN_PAUSE, played.dies("b"))))
+    ended = run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert ended is None
     assert played.caller.body == whole_answer()
     assert played.firsts == ["a", "c"]
@@ -82,7 +82,7 @@
 
 def test_a_stream_goes_on_once_a_repeat_is_allowed_again(stream):
     played = stream(Engine(pause_after=5, pause=30.0), slack=NONE)
-    ended = play(
+    ended = run_virtual(
         played.serve((IN_PAUSE, played.dies("b")), (1.0, played.allow(PLENTY)))
     )
     assert ended is None
@@ -93,7 +93,7 @@
 def test_an_answer_whose_engine_ended_it_waits_for_a_retry(stream):
     """It was given up at once, while its caller would have read on for two seconds."""
     played = stream(Engine(pause_after=5, breaks=True), slack=NONE)
-    ended = play(played.serve((1.0, played.allow(PLENTY))))
+    ended = run_virtual(played.serve((1.0, played.allow(PLENTY))))
     assert ended is None
     assert played.caller.body == whole_answer()
     assert played.firsts == ["a", "c"]
@@ -103,7 +103,7 @@
     """Taken for dead a second time, it moves, now that a retry is left."""
     played = stream(Engine(pause_after=5, pause=0.4, stops_after=8), slack=NONE)
     dies_again = 1.1
-    ended = play(
+    ended = run_virtual(
         played.serve(
             (IN_PAUSE, played.dies("b")),
             (dies_again, played.allow(PLENTY)),
@@ -121,7 +121,7 @@
     played = stream(
         Engine(pause_after=5, pause=1.0, breaks=True), room_from=IN_PAUSE + 1.5
     )
-    ended = play(played.serve((IN_PAUSE, played.dies("b"))))
+    ended = run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert ended is None
     assert played.caller.body == whole_answer()
     assert played.routing_state.crashes.losses(played.ended_at) == {}
@@ -130,7 +130,7 @@
 def test_a_request_that_no_engine_ran_is_refused_as_such(stream):
     """Its caller was told that it may have run, and not when to come back."""
     played = stream(Engine(status=503), slack=NONE)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
     assert ended.outcome is Outcome.NOT_RUN
     assert ended.retry_after is not None
@@ -145,7 +145,7 @@
     passed, and was late whatever it met.
     """
     played = stream(Engine(status=503), slack=NONE)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert ended.outcome is Outcome.NOT_RUN
     assert played.ended_at <= 0.05
     assert 0.05 <= ended.retry_after <= 0.15
@@ -154,7 +154,7 @@
 def test_a_request_that_may_have_run_waits_for_a_retry(stream):
     """Its caller cannot be told that it has not run, and would not ask again."""
     played = stream(Engine(breaks=True, pause_after=0), slack=NONE)
-    play(played.serve((0.1, played.allow(PLENTY))))
+    run_virtual(played.serve((0.1, played.allow(PLENTY))))
     assert played.firsts == ["a", "c"]
     assert played.caller.body == whole_answer()
 
@@ -170,7 +170,7 @@
     for seconds in (2.0,) * 20 + (6.0,) * 2:
         played.routing_state.durations.note("rooms", seconds)
     played._find = lambda *asked: Refusal(ErrorKind.OVERLOADED, "no path has memory")
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     least, most = RETRY_AFTER_ANSWERS
     assert ended.kind is ErrorKind.OVERLOADED
     assert 2.0 * least <= ended.retry_after <= 2.0 * most
@@ -184,7 +184,7 @@
     played = stream(
         Engine(drops=True), slack=NONE, attempts=1, retry_safety=retry_safety
     )
-    assert play(played.serve()) is None
+    assert run_virtual(played.serve()) is None
     assert played.caller.body == whole_answer()
     assert played.routing_state.crashes.losses(played.ended_at) == {}
 
@@ -192,13 +192,13 @@
 def test_an_answer_waits_for_a_file_descriptor(stream):
     """It was broken off by the error that the lack of one raised."""
     played = stream(Engine(pause_after=5, breaks=True), lacks_descriptors=(0.1, 1.0))
-    assert play(played.serve()) is None
+    assert run_virtual(played.serve()) is None
     assert played.caller.body == whole_answer()
 
 
 def test_a_request_is_refused_where_no_file_descriptor_is_left(stream):
     played = stream(Engine(), lacks_descriptors=(0.0, 9.0))
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert ended.kind is ErrorKind.OVERLOADED
     assert ended.outcome is Outcome.NOT_RUN
     assert played.routing_state.suspects.excluded(played.ended_at) == set()
@@ -213,7 +213,7 @@
 
     played._head = fails
     with pytest.raises(ValueError, match="a defect"):
-        play(played.serve())
+        run_virtual(played.serve())
     assert [run.abandoned for _, _, run in played.runs] == [True]
 
 
@@ -221,6 +221,6 @@
 def test_an_answer_has_no_length_of_one_run(stream, resume_after):
     """An answer without new events was promised a body, and broken off as a defect."""
     played = stream(Engine(), resume_after=resume_after)
-    assert play(played.serve()) is None
+    assert run_virtual(played.serve()) is None
     assert played.caller.whole
     assert "Content-Length" not in played.caller.headers
--- a/packages/relay/tests/relay/test_peers.py
+++ b/packages/relay/tests/relay/test_peers.py
@@ -15,7 +15,7 @@
 )
 from lacewingcourse.relay.small_server import SmallServer
 
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: A version of a thousand routes.
 DOCUMENT = b"".join(
@@ -74,7 +74,7 @@
         await asyncio.sleep(TIMEOUT)
         return fetches, peers.active_fetches
 
-    fetches, left = play(fetched())
+    fetches, left = run_virtual(fetched())
     addresses = [address for address, _ in fetches]
     assert addresses.count("stopped") == 1
     assert dict(reversed(fetches))["sound"] <= GOSSIP_PERIOD
--- a/packages/relay/tests/relay/test_restarts.py
+++ b/packages/relay/tests/relay/test_restarts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from .restarts import MAX_EVENTS, Lengths, Restarts
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Seconds after the first entry is back in which refused callers come back.
 LATEST = 1.5
@@ -26,7 +26,7 @@
         await restarts.play()
         return restarts
 
-    return play(test())
+    return run_virtual(test())
 
 
 @pytest.mark.parametrize("count", [2, 4])
--- a/packages/relay/tests/relay/test_retries_at_once.py
+++ b/packages/relay/tests/relay/test_retries_at_once.py
@@ -18,7 +18,7 @@
 
 from .stream_play import PLENTY, STEP, Engine, StreamPlay, whole_answer
 from .test_calls import QUICK, REJECTED, CallPlay
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Requests of an endpoint, and the retries that are left when it is lost.
 REQUESTS = 12
@@ -98,7 +98,7 @@
     async def together():
         return await asyncio.gather(*(one.serve(*happenings) for one in made))
 
-    return play(together())
+    return run_virtual(together())
 
 
 def retries_of(streams) -> int:
@@ -252,6 +252,6 @@
         serving.cancel()
         await asyncio.wait({serving})
 
-    play(cancel())
+    run_virtual(cancel())
     assert not budget.holds[service]
     assert sum(budget.take(service, 1.0) for _ in range(REQUESTS)) == LEFT
--- a/packages/relay/tests/relay/test_retry_loans.py
+++ b/packages/relay/tests/relay/test_retry_loans.py
@@ -30,7 +30,7 @@
 from lacewingcourse.relay.small_server import ServerRequest
 
 from .stream_play import Decisions
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Window of the retry budget in seconds, and its slack: the retries of all entries that
 #: it allows besides a share of their requests.
@@ -139,7 +139,7 @@
         assert max(waits) <= 1.5
         assert fleet.max_in_a_window() <= SAFETY_SHARE * SLACK
 
-    play(test())
+    run_virtual(test())
 
 
 def test_an_even_share_leaves_streams_without_a_retry():
@@ -150,7 +150,7 @@
             await lose_streams(fleet, affected=3, streams=30)
         assert len(fleet.sent) == 3 * int(SAFETY_SHARE * SLACK / 31)
 
-    play(test())
+    run_virtual(test())
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -173,7 +173,7 @@
         assert fleet.max_in_a_window() <= SAFETY_SHARE * SLACK
         assert len(fleet.sent) > SAFETY_SHARE * SLACK
 
-    play(test())
+    run_virtual(test())
 
 
 def test_an_entry_that_has_just_started_lends_no_more_than_its_share():
@@ -188,7 +188,7 @@
         reply = decode(await fleet.fetch("e30", LOAN_PATH, message), LoanReply)
         assert 0 < reply.count <= SAFETY_SHARE * SLACK / 31
 
-    play(test())
+    run_virtual(test())
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -214,7 +214,7 @@
             task.cancel()
         assert fleet.max_in_a_window() <= SLACK
 
-    play(test())
+    run_virtual(test())
 
 
 def test_an_entry_that_has_just_started_goes_on_with_the_retries_of_the_others():
@@ -225,4 +225,4 @@
         waits = await lose_streams(fleet, affected=1, streams=10)
         assert max(waits) <= 0.3
 
-    play(test())
+    run_virtual(test())
--- a/packages/relay/tests/relay/test_secured.py
+++ b/packages/relay/tests/relay/test_secured.py
@@ -20,7 +20,7 @@
 from lacewingcourse.relay.upstream import End
 
 from .stream_play import NONE, PLENTY, Engine, Run, StreamPlay, whole_answer
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 SHORT_PAUSE = Engine(pause_after=5, pause=0.4)
 IN_PAUSE = 0.4
@@ -43,7 +43,7 @@
 
 def test_a_run_is_not_closed_for_a_first_part_that_cannot_be_reached(shape):
     played = Unreachable(shape, {"a": SHORT_PAUSE}, slack=ONE, gone=("c",))
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert played.caller.body == whole_answer()
 
 
@@ -51,7 +51,7 @@
     """The engine of the next path has no room, which only its answer tells."""
     engines = {"a": SHORT_PAUSE, "c": Engine(status=503)}
     played = StreamPlay(shape, engines, slack=ONE)
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert played.caller.body == whole_answer()
 
 
@@ -66,7 +66,7 @@
     def look(watcher) -> None:
         first.extend(run.abandoned for _, _, run in played.runs)
 
-    play(played.serve((IN_PAUSE, played.dies("b")), (IN_PAUSE + 0.2, look)))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b")), (IN_PAUSE + 0.2, look)))
     assert first == [False, False]
     assert [run.abandoned for _, _, run in played.runs] == [True, False]
     assert played.caller.body == whole_answer()
@@ -75,7 +75,7 @@
 def test_a_run_that_goes_on_before_the_next_one_was_accepted_is_kept(shape):
     engines = {"a": SHORT_PAUSE, "c": SLOW}
     played = StreamPlay(shape, engines)
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert [run.abandoned for _, _, run in played.runs] == [False, True]
     assert played.caller.body == whole_answer()
 
@@ -83,7 +83,7 @@
 def test_an_engine_that_ends_its_run_leaves_the_one_begun_beside_it(shape):
     engines = {"a": Engine(pause_after=5, pause=0.3, breaks=True), "c": SLOW}
     played = StreamPlay(shape, engines)
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert played.firsts == ["a", "c"]
     assert played.caller.body == whole_answer()
 
@@ -91,7 +91,7 @@
 def test_an_engine_that_drops_the_next_run_costs_no_attempt(shape):
     engines = {"a": Engine(stops_after=5), "c": Engine(drops=True)}
     played = StreamPlay(shape, engines)
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert played.caller.body == whole_answer()
     assert played.job.sends == 2
 
@@ -103,14 +103,14 @@
         played.caller.gone = True
         played.job.caller_gone()
 
-    play(played.serve((IN_PAUSE, played.dies("b")), (IN_PAUSE + 0.1, leave)))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b")), (IN_PAUSE + 0.1, leave)))
     assert [run.abandoned for _, _, run in played.runs] == [True, True]
 
 
 @pytest.mark.parametrize("engine", [SLOW, Engine(status=503), Engine(drops=True)])
 def test_what_runs_beside_one_another_leaves_no_load(shape, engine):
     played = StreamPlay(shape, {"a": SHORT_PAUSE, "c": engine})
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert played.routing_state.loads.own == {}
 
 
@@ -127,7 +127,7 @@
 
 def test_a_run_gives_way_to_one_that_has_no_room_beside_it(shape):
     played = Narrow(shape, {"a": Engine(stops_after=5), "c": SLOW})
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     (_, _, first), (begun_at, _, _) = played.runs
     assert first.abandoned
     assert begun_at < IN_PAUSE + 0.1
@@ -138,21 +138,21 @@
     played = Unreachable(
         shape, {"a": Engine(pause_after=5, breaks=True)}, slack=PLENTY, gone=("c",)
     )
-    play(played.serve())
+    run_virtual(played.serve())
     assert len(played.budget.retries.get("rooms", ())) == 0
 
 
 def test_waiting_for_a_descriptor_takes_no_repeats(shape):
     engine = Engine(pause_after=5, breaks=True)
     played = StreamPlay(shape, {"a": engine}, lacks_descriptors=(0.1, 1.0))
-    play(played.serve())
+    run_virtual(played.serve())
     assert len(played.budget.retries["rooms"]) == 1
 
 
 def test_waiting_for_a_descriptor_ends_with_the_time_of_the_route(shape):
     engine = Engine(pause_after=5, breaks=True)
     played = StreamPlay(shape, {"a": engine}, lacks_descriptors=(0.1, 60.0))
-    play(played.serve())
+    run_virtual(played.serve())
     assert played.ended_at <= 20.1
 
 
@@ -163,7 +163,7 @@
     def leave(watcher) -> None:
         played.caller.gone = True
 
-    play(played.serve((1.0, leave)))
+    run_virtual(played.serve((1.0, leave)))
     assert played.ended_at <= 1.5
 
 
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize("status", [422, 500])
 def test_an_engines_own_answer_is_kept_until_another_may_be_asked(shape, status):
     played = Failing(shape, {"a": Engine(status=status)}, slack=NONE)
-    play(played.serve())
+    run_virtual(played.serve())
     assert played.caller.status == status
 
 
@@ -210,14 +210,14 @@
 
 def test_a_run_that_stood_still_is_not_sent_again_on_the_path_of_a_dead_part(shape):
     played = Held(shape, {"a": Engine()}, room_from=1.2)
-    play(played.serve((0.2, played.dies("b"))))
+    run_virtual(played.serve((0.2, played.dies("b"))))
     assert played.firsts.count("a") == 1
 
 
 def test_a_run_ended_long_after_it_was_sent_was_no_dropped_connection(shape):
     """A crash under the request while it waited in the engine for its first token."""
     played = Held(shape, {"a": Engine()})
-    play(played.serve())
+    run_virtual(played.serve())
     assert played.firsts == ["a", "c"]
     assert played.routing_state.crashes.losses(played.ended_at)
 
@@ -227,14 +227,14 @@
 ):
     """Its events refute it; each such move took an attempt and a retry."""
     played = StreamPlay(shape, {"a": Engine()})
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert played.firsts == ["a"]
 
 
 def test_an_answer_whose_events_flow_is_not_lost_to_a_move(shape):
     engines = {"a": Engine(), "c": Engine(status=503)}
     played = StreamPlay(shape, engines, slack=ONE)
-    play(played.serve((IN_PAUSE, played.dies("b"))))
+    run_virtual(played.serve((IN_PAUSE, played.dies("b"))))
     assert played.caller.body == whole_answer()
 
 
@@ -251,6 +251,6 @@
     """It ended what stood still behind a dead part, while a connection was made."""
     engine = Engine(pause_after=5, pause=0.2, breaks=True)
     played = SlowToReach(shape, {"a": engine})
-    play(played.serve((0.55, played.dies("b"))))
+    run_virtual(played.serve((0.55, played.dies("b"))))
     assert played.caller.body == whole_answer()
     assert played.routing_state.crashes.losses(played.ended_at) == {}
--- a/packages/relay/tests/relay/test_sent_while_ending.py
+++ b/packages/relay/tests/relay/test_sent_while_ending.py
@@ -22,7 +22,7 @@
 from .test_calls import REJECTED, CallPlay
 from .test_last_requests import Caller
 from .test_leaving import BACK, Lines, entry_with
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Seconds in which an entry must have ended.
 GRACE = 8.0
@@ -86,7 +86,7 @@
 
 def test_a_request_waits_for_room_no_longer_than_an_ending_entry_takes_it(shape):
     played = EndingStream(shape, {}, is_full=True, room_from=AFTER)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert played.firsts == []
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
     assert played.ended_at <= ASKED + 2 * RETRY_PERIOD
@@ -95,7 +95,7 @@
 def test_a_rejected_request_is_not_sent_again_by_an_ending_entry(shape):
     engines = {"a": Engine(status=REJECTED, accepts_after=AFTER)}
     played = EndingStream(shape, engines)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert played.firsts == ["a"]
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
 
@@ -103,14 +103,14 @@
 def test_a_request_that_may_have_run_is_not_told_as_not_run(shape):
     lost = Engine(accepts_after=AFTER, pause_after=0, breaks=True)
     played = EndingStream(shape, {"a": lost})
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert played.firsts == ["a"]
     assert ended.outcome is Outcome.UNKNOWN
 
 
 def test_an_answer_that_was_begun_goes_on_elsewhere(shape):
     played = EndingStream(shape, {"a": Engine(pause_after=5, breaks=True)})
-    assert play(played.serve()) is None
+    assert run_virtual(played.serve()) is None
     assert played.firsts == ["a", "c"]
     assert played.caller.body == whole_answer()
 
@@ -121,7 +121,7 @@
 ):
     engines = {"a": Engine(accepts_after=1.0)}
     played = EndingStream(shape, engines, connecting=connecting, asked=asked)
-    play(played.serve((AFTER, played.dies("b"))))
+    run_virtual(played.serve((AFTER, played.dies("b"))))
     assert played.firsts == ["a"]
     assert played.caller.body == whole_answer()
 
@@ -145,7 +145,7 @@
         sending = job.sending("a", "a:1", path, played.clock(), "")
         return await sender.send(job, sending, fresh=True)
 
-    assert play(test()) == NotSent(Unsent.LEAVING)
+    assert run_virtual(test()) == NotSent(Unsent.LEAVING)
     assert made.closed
 
 
@@ -169,21 +169,21 @@
 
 def test_a_stream_that_was_not_sent_takes_no_endpoint_from_others(shape):
     played = LateStream(shape, {})
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
     assert played.routing_state.suspects.excluded(0.0) == set()
 
 
 def test_a_call_that_was_not_sent_takes_no_endpoint_from_others():
     played = LateCall()
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
     assert played.routing_state.suspects.excluded(0.0) == set()
 
 
 def test_a_rejected_call_is_not_sent_again_by_an_ending_entry():
     played = EndingCall(status=REJECTED)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert len(played.sends) == 1
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
 
@@ -195,14 +195,14 @@
         ended = await played.serve()
         return ended, played.clock()
 
-    ended, ended_at = play(test())
+    ended, ended_at = run_virtual(test())
     assert ended.kind is ErrorKind.DRAINING
     assert ended_at <= ASKED + 2 * RETRY_PERIOD
 
 
 def test_a_slow_call_is_not_closed_for_one_that_may_not_be_sent():
     played = EndingCall()
-    assert isinstance(play(played.serve()), WholeAnswer)
+    assert isinstance(run_virtual(played.serve()), WholeAnswer)
     assert len(played.sends) == 1
 
 
@@ -216,6 +216,6 @@
         await entry_with(refuses, Lines()).serve(caller)
         return caller
 
-    caller = play(test())
+    caller = run_virtual(test())
     assert caller.status == 503
     assert float(caller.headers["Retry-After"]) == BACK
--- a/packages/relay/tests/relay/test_staleness.py
+++ b/packages/relay/tests/relay/test_staleness.py
@@ -21,7 +21,7 @@
 from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.staleness import LOOK_PERIOD, LOOKS, StalenessGuard
 
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Age from which the configuration is stale, and an age beyond it, seconds.
 LIMIT = 1.2
@@ -99,7 +99,7 @@
         decided = await gateway._certain_job(caller, request)
         return decided, loop.time() - began_at
 
-    return play(asked())
+    return run_virtual(asked())
 
 
 def test_what_the_newest_version_does_not_know_is_refused_at_once():
--- a/packages/relay/tests/relay/virtual_time.py
+++ b/packages/relay/tests/relay/virtual_time.py
@@ -27,7 +27,7 @@
         super()._run_once()
 
 
-def play(work: Coroutine) -> Any:
+def run_virtual(work: Coroutine) -> Any:
     """Run a coroutine in virtual time; return what it returns."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(work)
