--- a/packages/relay/src/lacewingcourse/relay/duty_holder.py
+++ b/packages/relay/src/lacewingcourse/relay/duty_holder.py
@@ -15,10 +15,10 @@
     from lacewingcourse.relay.ports import LeaseStore
 
 #: Seconds after which a holder that nobody hears is replaced.
-HOLDER_SILENT = 2.0
+HOLDER_TIMEOUT = 2.0
 #: Seconds that each further entry leaves to those before it to take over. A take-over
 #: takes a read and a write of the store, and its news as long again.
-TAKEOVER_STEP = 0.1
+TAKEOVER_DELAY_PER_RANK = 0.1
 
 
 @attrs.define
@@ -59,7 +59,7 @@
         """Fencing number of the holder that is known, 0 for none."""
         return self.lease.fencing if self.lease is not None else 0
 
-    def hear(
+    def from_peer(
         self, holder: str, fencing: int, age: float = 0.0, released: int = 0
     ) -> None:
         """Take from another entry who has the duty.
@@ -73,21 +73,21 @@
         self.released = max(self.released, released)
         heard_at = self.clock() - age
         if fencing > self.fencing:
-            self.follow(Lease(holder, fencing), heard_at)
+            self.accept_lease(Lease(holder, fencing), heard_at)
         elif fencing == self.fencing:
             self.heard_at = max(self.heard_at, heard_at)
 
-    def silence(self) -> float:
+    def holder_age(self) -> float:
         """Return the seconds since anybody heard the holder."""
         return 0.0 if self.held else self.clock() - self.heard_at
 
-    def follow(self, lease: Lease, heard_at: float) -> None:
+    def accept_lease(self, lease: Lease, heard_at: float) -> None:
         """Believe in a holder that was not known before."""
         self.lease = lease
         self.heard_at = heard_at
         self.on_change()
 
-    def is_vacant(self) -> bool:
+    def should_acquire(self) -> bool:
         """Tell whether this entry should take the duty, as far as is known here.
 
         The age of the holder's word travels with the news: most entries of a large
@@ -99,27 +99,27 @@
             return False
         if self.lease is None:
             return True
-        waits = self.rank() * TAKEOVER_STEP
+        delay = self.rank() * TAKEOVER_DELAY_PER_RANK
         if self.released < self.fencing:
-            waits += HOLDER_SILENT
-        return self.silence() > waits
+            delay += HOLDER_TIMEOUT
+        return self.holder_age() > delay
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Take the duty unless somebody else has it by now."""
         found = await self.store.current()
         if isinstance(found, Unavailable):
             return
         # A record with this entry's own name is one of an earlier incarnation.
-        other = found is not None and found.holder != self.name
-        if other and found.fencing > self.fencing:
-            self.follow(found, self.clock())
-        if not self.is_vacant():
+        other_holder = found is not None and found.holder != self.name
+        if other_holder and found.fencing > self.fencing:
+            self.accept_lease(found, self.clock())
+        if not self.should_acquire():
             return
-        taken = await self.store.take(self.name, found)
-        if isinstance(taken, Lease):
-            self.follow(taken, self.clock())
-            self.log.log_event("duty_taken", fencing=taken.fencing)
+        acquired = await self.store.acquire(self.name, found)
+        if isinstance(acquired, Lease):
+            self.accept_lease(acquired, self.clock())
+            self.log.log_event("duty_taken", fencing=acquired.fencing)
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Let another entry take the duty; until one does it stays here."""
         self.released = max(self.released, self.fencing)
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -132,7 +132,7 @@
             counts=self._zone_counts(scope, now),
             holder=lease.holder if lease else "",
             fencing=lease.fencing if lease else 0,
-            holder_age=round(self.holder.silence(), 3) if lease else 0.0,
+            holder_age=round(self.holder.holder_age(), 3) if lease else 0.0,
             released=self.holder.released,
             ends_in=self.ends_in(),
             limits=self.routing_state.limits.observations(now),
@@ -194,7 +194,9 @@
         self.routing_state.crashes.from_peer(message.crashes, now, seen_in_zone)
         self._apply_limits(message, now, transit)
         holder_age = transit + message.holder_age
-        self.holder.hear(message.holder, message.fencing, holder_age, message.released)
+        self.holder.from_peer(
+            message.holder, message.fencing, holder_age, message.released
+        )
 
     def _apply_limits(self, message: GossipMessage, now: float, transit: float) -> None:
         """Apply the limits that endpoints named to other entries."""
--- a/packages/relay/src/lacewingcourse/relay/placement_duty.py
+++ b/packages/relay/src/lacewingcourse/relay/placement_duty.py
@@ -105,10 +105,10 @@
         while True:
             if self.holder.held:
                 if self.holder.is_leaving():
-                    self.holder.give_back()
+                    self.holder.release()
                 await self.place()
-            elif self.holder.is_vacant():
-                await self.holder.take()
+            elif self.holder.should_acquire():
+                await self.holder.acquire()
             await asyncio.sleep(PERIOD)
 
     def _forget_orders(self) -> None:
@@ -236,7 +236,7 @@
             age = self.clock() - self.routing_state.fleet.known_at
             return self.holder.held and age < TRUSTED_AGE
         if isinstance(found, Lease):
-            self.holder.follow(found, self.clock())
+            self.holder.accept_lease(found, self.clock())
         return False
 
     def _expected(self, endpoint: Endpoint) -> Endpoint:
--- a/packages/relay/src/lacewingcourse/relay/ports.py
+++ b/packages/relay/src/lacewingcourse/relay/ports.py
@@ -341,7 +341,7 @@
     async def current(self) -> Lease | None | Unavailable:
         """Return the present holder, None if there never was one."""
 
-    async def take(
+    async def acquire(
         self, holder: str, after: Lease | None
     ) -> Lease | None | Unavailable:
         """Take the duty unless somebody else took it after a given holder."""
--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -24,7 +24,7 @@
 
 def no_holder(name: str, book: PeerBook, clock: Clock) -> SimpleNamespace:
     """Return what stands for the holder of the duty where no test looks at it."""
-    return SimpleNamespace(lease=None, released=0, hear=lambda *news: None)
+    return SimpleNamespace(lease=None, released=0, from_peer=lambda *news: None)
 
 
 class Network:
--- a/packages/relay/tests/relay/test_duty_holder.py
+++ b/packages/relay/tests/relay/test_duty_holder.py
@@ -7,7 +7,11 @@
 
 import pytest
 
-from lacewingcourse.relay.duty_holder import HOLDER_SILENT, TAKEOVER_STEP, DutyHolder
+from lacewingcourse.relay.duty_holder import (
+    HOLDER_TIMEOUT,
+    TAKEOVER_DELAY_PER_RANK,
+    DutyHolder,
+)
 from lacewingcourse.relay.placement_duty import PERIOD
 from lacewingcourse.relay.ports import Lease, Unavailable
 
@@ -27,95 +31,95 @@
 
 def test_a_duty_that_nobody_has_is_taken(make_holder):
     holder = make_holder(Leases(None))
-    asyncio.run(holder.take())
+    asyncio.run(holder.acquire())
     assert holder.held
 
 
-def test_a_holder_that_is_heard_keeps_the_duty(make_holder):
+def test_a_lease_in_the_store_is_not_replaced(make_holder):
     holder = make_holder(Leases(Lease("other", 3)))
-    asyncio.run(holder.take())
+    asyncio.run(holder.acquire())
     assert holder.lease == Lease("other", 3)
     assert holder.store.taken == []
 
 
-def test_a_holder_told_by_a_peer_meanwhile_keeps_the_duty(make_holder):
+def test_a_holder_reported_by_a_peer_during_the_read_keeps_the_duty(make_holder):
     """The peer's word comes while the store is being read."""
     store = Leases(Lease("other", 3))
     holder = make_holder(store)
-    store.during = lambda: holder.hear("other", 3)
-    asyncio.run(holder.take())
+    store.during_read = lambda: holder.from_peer("other", 3)
+    asyncio.run(holder.acquire())
     assert store.taken == []
 
 
-def looks(holder, now, seconds):
+def poll_until(holder, now, seconds):
     """Let an entry look whether it should take the duty until a time."""
     while now[0] < seconds:
         now[0] += PERIOD
-        if holder.is_vacant():
-            asyncio.run(holder.take())
+        if holder.should_acquire():
+            asyncio.run(holder.acquire())
 
 
 @pytest.mark.parametrize("rank", [0, 3])
-def test_a_silent_holder_is_replaced_in_order_of_ranks(make_holder, rank):
+def test_a_silent_holder_is_replaced_in_order_of_rank(make_holder, rank):
     """Told once, a holder has the whole time; then each waits for those before it."""
     now = [0.0]
     holder = make_holder(Leases(Lease("other", 3)), clock=lambda: now[0], rank=rank)
-    holder.hear("other", 3)
-    waits = HOLDER_SILENT + rank * TAKEOVER_STEP
-    looks(holder, now, waits - PERIOD)
+    holder.from_peer("other", 3)
+    delay = HOLDER_TIMEOUT + rank * TAKEOVER_DELAY_PER_RANK
+    poll_until(holder, now, delay - PERIOD)
     assert holder.lease == Lease("other", 3)
-    looks(holder, now, waits + 2 * PERIOD)
+    poll_until(holder, now, delay + 2 * PERIOD)
     assert holder.lease == Lease("me", 4)
 
 
-def test_a_holder_that_others_hear_keeps_the_duty(make_holder):
+def test_a_holder_that_other_entries_hear_from_keeps_the_duty(make_holder):
     now = [0.0]
     holder = make_holder(Leases(Lease("other", 3)), clock=lambda: now[0])
-    while now[0] < 5 * HOLDER_SILENT:
-        holder.hear("other", 3, age=0.6)
-        looks(holder, now, now[0] + 0.5)
+    while now[0] < 5 * HOLDER_TIMEOUT:
+        holder.from_peer("other", 3, age=0.6)
+        poll_until(holder, now, now[0] + 0.5)
     assert holder.store.taken == []
 
 
 def test_a_holder_that_is_leaving_is_replaced_at_once(make_holder):
     now = [0.0]
     holder = make_holder(Leases(Lease("other", 3)), clock=lambda: now[0])
-    holder.hear("other", 3, age=0.0, released=3)
-    looks(holder, now, 2 * PERIOD)
+    holder.from_peer("other", 3, age=0.0, released=3)
+    poll_until(holder, now, 2 * PERIOD)
     assert holder.lease == Lease("me", 4)
 
 
 def test_an_entry_that_is_leaving_takes_no_duty(make_holder):
     now = [0.0]
     holder = make_holder(Leases(None), clock=lambda: now[0], leaving=True)
-    looks(holder, now, 3 * HOLDER_SILENT)
+    poll_until(holder, now, 3 * HOLDER_TIMEOUT)
     assert holder.store.taken == []
 
 
 def test_an_earlier_incarnation_of_this_entry_is_replaced(make_holder):
     holder = make_holder(Leases(Lease("me", 3)))
-    asyncio.run(holder.take())
+    asyncio.run(holder.acquire())
     assert holder.lease == Lease("me", 4)
 
 
-def test_nothing_is_taken_while_the_store_is_away(make_holder):
+def test_the_duty_is_not_acquired_while_the_store_is_unavailable(make_holder):
     holder = make_holder(Leases(Unavailable("refused")))
-    asyncio.run(holder.take())
+    asyncio.run(holder.acquire())
     assert holder.lease is None
 
 
-def test_an_older_word_of_a_peer_changes_nothing(make_holder):
+def test_an_older_lease_from_a_peer_is_ignored(make_holder):
     holder = make_holder(Leases(None))
-    holder.hear("other", 5)
-    holder.hear("older", 4)
+    holder.from_peer("other", 5)
+    holder.from_peer("older", 4)
     assert holder.lease == Lease("other", 5)
 
 
-def test_a_holder_that_gave_the_duty_back_has_it_until_another_takes_it(make_holder):
+def test_a_holder_that_released_the_duty_keeps_it_until_it_is_acquired(make_holder):
     holder = make_holder(Leases(None))
-    asyncio.run(holder.take())
-    holder.give_back()
+    asyncio.run(holder.acquire())
+    holder.release()
     assert holder.held
     assert holder.released == holder.fencing
-    holder.hear("other", holder.fencing + 1)
+    holder.from_peer("other", holder.fencing + 1)
     assert not holder.held
--- a/packages/relay/tests/relay/test_large_duty.py
+++ b/packages/relay/tests/relay/test_large_duty.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lacewingcourse.relay.duty_holder import HOLDER_SILENT, DutyHolder
+from lacewingcourse.relay.duty_holder import HOLDER_TIMEOUT, DutyHolder
 from lacewingcourse.relay.peers import GOSSIP_PERIOD as EXCHANGE_PERIOD
 from lacewingcourse.relay.placement_duty import PERIOD
 from lacewingcourse.relay.ports import Lease
@@ -35,7 +35,7 @@
         await asyncio.sleep(0)
         return found
 
-    async def take(self, holder, after):
+    async def acquire(self, holder, after):
         if after != self.holder:
             return None
         self.taken.append(holder)
@@ -44,7 +44,7 @@
 
 
 @pytest.fixture
-def large():
+def large_deployment():
     """68 entries that have just started, with one lease store."""
     store = SharedLeases()
     log = SimpleNamespace(log_event=lambda event, **fields: None)
@@ -57,44 +57,46 @@
     return Network(ZONES, make_holder), store
 
 
-def play(network, seconds):
+def exchange_for(network, seconds):
     """Let all entries speak, and look at the duty, for some seconds."""
 
-    async def look():
-        vacant = [e.holder for e in network.entries.values() if e.holder.is_vacant()]
-        await asyncio.gather(*(holder.take() for holder in vacant))
+    async def acquire_if_vacant():
+        candidates = [
+            e.holder for e in network.entries.values() if e.holder.should_acquire()
+        ]
+        await asyncio.gather(*(holder.acquire() for holder in candidates))
 
-    since = looked = network.clock.now
+    since = looked_at = network.clock.now
     while network.clock.now < since + seconds:
         network.rounds(1)
-        if network.clock.now - looked >= PERIOD:
-            looked = network.clock.now
-            asyncio.run(look())
+        if network.clock.now - looked_at >= PERIOD:
+            looked_at = network.clock.now
+            asyncio.run(acquire_if_vacant())
 
 
-def test_one_entry_takes_the_duty_and_keeps_it(large):
+def test_one_entry_takes_the_duty_and_keeps_it(large_deployment):
     """It went round: 16 entries had it in turn before the first order was given."""
-    network, store = large
-    play(network, 15.0)
+    network, store = large_deployment
+    exchange_for(network, 15.0)
     assert len(store.taken) == 1
 
 
-def test_one_entry_takes_over_from_a_lost_holder(large):
-    network, store = large
-    play(network, 5.0)
+def test_one_entry_takes_over_from_a_lost_holder(large_deployment):
+    network, store = large_deployment
+    exchange_for(network, 5.0)
     del network.entries[store.holder.holder]
-    play(network, HOLDER_SILENT + 5 * EXCHANGE_PERIOD)
+    exchange_for(network, HOLDER_TIMEOUT + 5 * EXCHANGE_PERIOD)
     assert len(store.taken) == 2
-    play(network, 10.0)
+    exchange_for(network, 10.0)
     assert len(store.taken) == 2
 
 
-def test_a_holder_that_is_no_hub_is_heard_in_every_zone(large):
-    network, store = large
+def test_the_age_of_a_holder_that_is_no_hub_reaches_every_zone(large_deployment):
+    network, store = large_deployment
     member = "e-12"
     store.holder = Lease(member, 1)
     network.entries[member].holder.lease = store.holder
-    play(network, 12.0)
+    exchange_for(network, 12.0)
     assert store.taken == []
-    ages = [entry.holder.silence() for entry in network.entries.values()]
-    assert max(ages) < HOLDER_SILENT / 2
+    ages = [entry.holder.holder_age() for entry in network.entries.values()]
+    assert max(ages) < HOLDER_TIMEOUT / 2
--- a/packages/relay/tests/relay/test_placement_duty.py
+++ b/packages/relay/tests/relay/test_placement_duty.py
@@ -75,7 +75,7 @@
     duty.holder.lease = Lease("me", 3)
     duty.routing_state.fleet.confirm(10.0 - age)
     assert asyncio.run(duty._may_order()) is may
-    duty.holder.hear("other", 4)
+    duty.holder.from_peer("other", 4)
     assert not asyncio.run(duty._may_order())
 
 
