--- a/packages/relay/src/lacewingcourse/relay/duty_holder.py
+++ b/packages/relay/src/lacewingcourse/relay/duty_holder.py
@@ -1,4 +1,4 @@
-"""Who has the duty of placing layers: one entry at a time."""
+"""The lease of the placement duty, which one entry holds at a time."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.ports import LeaseStore
 
-#: Seconds after which a holder that nobody hears is replaced.
+#: Seconds without a message from the holder at any entry after which it is replaced.
 HOLDER_TIMEOUT = 2.0
-#: Seconds that each further entry leaves to those before it to take over. A take-over
-#: takes a read and a write of the store, and its news as long again.
+#: Seconds by which an entry delays its takeover for each entry of a lower rank. A
+#: takeover reads and writes the store, and takes as long again to reach other entries.
 TAKEOVER_DELAY_PER_RANK = 0.1
 
 
 @attrs.define
 class DutyHolder:
-    """What this entry knows of who has the duty.
+    """The lease of the duty as this entry knows it.
 
     Attributes:
         name: Name of this entry.
-        store: Where the holder is agreed on.
-        log: Log of decisions.
+        store: Store of the lease.
+        log: Decision log.
         clock: Returns the present time in seconds.
-        rank: Returns how many live entries come before this one.
-        is_leaving: Tells whether this entry is ending.
-        on_change: Called when another holder is believed in.
-        lease: Who has the duty, None if unknown.
-        heard_at: When the holder was last heard by anybody, seconds.
-        released: Fencing number of the last holder that gave the duty back.
+        rank: Returns how many live entries precede this one.
+        is_leaving: Returns whether this entry is ending.
+        on_change: Called when the known lease changes.
+        lease: The lease, None if unknown.
+        heard_at: When any entry last received a message from the holder, seconds.
+        released: Fencing number of the last holder that released the duty.
     """
 
     name: str
@@ -56,19 +56,19 @@
 
     @property
     def fencing(self) -> int:
-        """Fencing number of the holder that is known, 0 for none."""
+        """Fencing number of the known holder, 0 if none is known."""
         return self.lease.fencing if self.lease is not None else 0
 
     def from_peer(
         self, holder: str, fencing: int, age: float = 0.0, released: int = 0
     ) -> None:
-        """Take from another entry who has the duty.
+        """Apply what another entry knows of the lease.
 
         Args:
             holder: Name of the holder.
-            fencing: Its fencing number, 0 if the other entry knows of none.
-            age: Seconds since anybody heard the holder.
-            released: Fencing number of the last holder that gave the duty back.
+            fencing: Its fencing number, 0 if the other entry knows of no holder.
+            age: Seconds since any entry received a message from the holder.
+            released: Fencing number of the last holder that released the duty.
         """
         self.released = max(self.released, released)
         heard_at = self.clock() - age
@@ -78,22 +78,23 @@
             self.heard_at = max(self.heard_at, heard_at)
 
     def holder_age(self) -> float:
-        """Return the seconds since anybody heard the holder."""
+        """Return the seconds since any entry received a message from the holder."""
         return 0.0 if self.held else self.clock() - self.heard_at
 
     def accept_lease(self, lease: Lease, heard_at: float) -> None:
-        """Believe in a holder that was not known before."""
+        """Store a lease that was not known before."""
         self.lease = lease
         self.heard_at = heard_at
         self.on_change()
 
     def should_acquire(self) -> bool:
-        """Tell whether this entry should take the duty, as far as is known here.
+        """Return whether this entry should acquire the duty, by its own knowledge.
 
-        The age of the holder's word travels with the news: most entries of a large
-        deployment hear a holder of another zone through hubs only, and each for itself
-        would take it to be dead. A record that is new to this entry is given the
-        whole time, and entries take over in order of their ranks.
+        Gossip messages carry the age of the holder's last message. In a large
+        deployment most entries receive messages of a holder in another availability
+        zone through hubs only; without the age each of them would consider the holder
+        dead. The timeout starts anew with a lease that is new to this entry, and
+        entries take over in order of rank.
         """
         if self.is_leaving() or self.held:
             return False
@@ -105,11 +106,11 @@
         return self.holder_age() > delay
 
     async def acquire(self) -> None:
-        """Take the duty unless somebody else has it by now."""
+        """Acquire the duty unless another entry has acquired it meanwhile."""
         found = await self.store.current()
         if isinstance(found, Unavailable):
             return
-        # A record with this entry's own name is one of an earlier incarnation.
+        # A lease in this entry's own name was acquired by an earlier incarnation.
         other_holder = found is not None and found.holder != self.name
         if other_holder and found.fencing > self.fencing:
             self.accept_lease(found, self.clock())
@@ -121,5 +122,5 @@
             self.log.log_event("duty_taken", fencing=acquired.fencing)
 
     def release(self) -> None:
-        """Let another entry take the duty; until one does it stays here."""
+        """Allow another entry to acquire the duty; this entry holds it until then."""
         self.released = max(self.released, self.fencing)
--- a/packages/relay/tests/relay/leases.py
+++ b/packages/relay/tests/relay/leases.py
@@ -1,4 +1,4 @@
-"""A lease store that a test sets."""
+"""A lease store in memory whose content a test sets."""
 
 from __future__ import annotations
 
@@ -6,7 +6,13 @@
 
 
 class Leases:
-    """A lease store that a test sets."""
+    """A lease store in memory.
+
+    Attributes:
+        holder: The present lease, or what a read returns instead.
+        during_read: Called during each read.
+        taken: Names of the holders that acquired the duty, in order.
+    """
 
     def __init__(self, current, during_read=lambda: None) -> None:
         self.holder = current
--- a/packages/relay/tests/relay/test_duty_holder.py
+++ b/packages/relay/tests/relay/test_duty_holder.py
@@ -1,4 +1,4 @@
-"""Tests of who has the duty of placing layers."""
+"""Tests of the lease of the placement duty."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def make_holder():
-    """Return a function that makes what an entry named `me` knows of the holder."""
+    """Return a function that makes the holder state of an entry named `me`."""
 
     def make(store, clock=lambda: 0.0, rank=0, leaving=False):
         log = SimpleNamespace(log_event=lambda event, **fields: None)
@@ -43,7 +43,7 @@
 
 
 def test_a_holder_reported_by_a_peer_during_the_read_keeps_the_duty(make_holder):
-    """The peer's word comes while the store is being read."""
+    """The peer's message arrives while the store is being read."""
     store = Leases(Lease("other", 3))
     holder = make_holder(store)
     store.during_read = lambda: holder.from_peer("other", 3)
@@ -52,7 +52,7 @@
 
 
 def poll_until(holder, now, seconds):
-    """Let an entry look whether it should take the duty until a time."""
+    """Check periodically until a time, and acquire the duty when it is due."""
     while now[0] < seconds:
         now[0] += PERIOD
         if holder.should_acquire():
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("rank", [0, 3])
 def test_a_silent_holder_is_replaced_in_order_of_rank(make_holder, rank):
-    """Told once, a holder has the whole time; then each waits for those before it."""
+    """The timeout runs in full after one message; then each entry waits by its rank."""
     now = [0.0]
     holder = make_holder(Leases(Lease("other", 3)), clock=lambda: now[0], rank=rank)
     holder.from_peer("other", 3)
--- a/packages/relay/tests/relay/test_large_duty.py
+++ b/packages/relay/tests/relay/test_large_duty.py
@@ -1,4 +1,4 @@
-"""Tests of the duty of placing among 68 entries of five availability zones."""
+"""Tests of the placement duty among 68 entries in five availability zones."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 from .network import Network
 
-#: Entries of each availability zone.
+#: Number of entries in each availability zone.
 ZONES = {"a": 14, "b": 14, "c": 14, "d": 13, "e": 13}
 
 
 class SharedLeases:
-    """One lease store for many entries, which all read before the first one writes.
+    """A lease store that all entries read before the first one writes.
 
     Attributes:
-        holder: The present holder.
-        taken: Holders in the order in which they took the duty.
+        holder: The present lease.
+        taken: Names of the holders in the order in which they acquired the duty.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def large_deployment():
-    """68 entries that have just started, with one lease store."""
+    """68 entries that have just started, and their shared lease store."""
     store = SharedLeases()
     log = SimpleNamespace(log_event=lambda event, **fields: None)
 
@@ -58,7 +58,7 @@
 
 
 def exchange_for(network, seconds):
-    """Let all entries speak, and look at the duty, for some seconds."""
+    """Run gossip rounds and periodic checks of the duty for some seconds."""
 
     async def acquire_if_vacant():
         candidates = [
@@ -75,7 +75,7 @@
 
 
 def test_one_entry_takes_the_duty_and_keeps_it(large_deployment):
-    """It went round: 16 entries had it in turn before the first order was given."""
+    """Guards against the duty passing among 16 entries before the first order."""
     network, store = large_deployment
     exchange_for(network, 15.0)
     assert len(store.taken) == 1
--- a/packages/relay/tests/relay/virtual_time.py
+++ b/packages/relay/tests/relay/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer, so that waits take no time."""
+"""An event loop whose clock jumps to the next timer, so that sleeping takes no time."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop without sockets of its own whose time passes only between events."""
+    """An event loop for code without sockets; time advances between callbacks only."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def time(self) -> float:
-        """Return the time that has passed in the play, seconds."""
+        """Return the virtual time in seconds."""
         return self.now
 
     def _run_once(self) -> None:
@@ -28,6 +28,6 @@
 
 
 def run_virtual(work: Coroutine) -> Any:
-    """Run a coroutine in virtual time; return what it returns."""
+    """Run a coroutine in virtual time and return its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(work)
