--- a/packages/relay/src/lacewingcourse/relay/duty_holder.py
+++ b/packages/relay/src/lacewingcourse/relay/duty_holder.py
@@ -111,8 +111,8 @@
         if isinstance(found, Unavailable):
             return
         # A lease in this entry's own name was acquired by an earlier incarnation.
-        other_holder = found is not None and found.holder != self.name
-        if other_holder and found.fencing > self.fencing:
+        held_by_other = found is not None and found.holder != self.name
+        if held_by_other and found.fencing > self.fencing:
             self.accept_lease(found, self.clock())
         if not self.should_acquire():
             return
--- a/packages/relay/src/lacewingcourse/relay/placement_duty.py
+++ b/packages/relay/src/lacewingcourse/relay/placement_duty.py
@@ -29,23 +29,23 @@
 #: Seconds in which a fleet that holds nothing must hardly grow before it is planned: a
 #: plan of half a fleet would cut its copies badly. The directory is read twice a
 #: second, so one more read has told nothing new.
-SETTLE = 0.8
+SETTLE_TIME = 0.8
 #: Share of the endpoints that may come later; they are given what is weakest then.
-LATE_SHARE = 0.05
+MAX_NEW_SHARE = 0.05
 #: Seconds that an order may take beyond its load before it is given again. Entries
 #: are written every heartbeat of about a second, and answers may be lost.
 ORDER_MARGIN = 3.0
 #: Seconds without a change of the fleet before a better layout is looked for: an
 #: endpoint that crashed is back within some seconds, and may need its layers again.
-QUIET = 2.0
+QUIET_TIME = 2.0
 #: Seconds in which an endpoint must tell how many orders it has accepted.
 REPORT_TIMEOUT = 0.5
 #: Seconds for which a search may hold up this entry's other work. Streams are passed on
 #: meanwhile, and callers are allowed pauses of some hundred milliseconds.
-SLICE = 0.005
+SEARCH_SLICE = 0.005
 #: Age in seconds of what is known of the directory up to which a holder without the
 #: store goes on. The directory is read twice a second, so this is two missed reads.
-TRUSTED_AGE = 1.5
+MAX_DIRECTORY_AGE = 1.5
 
 
 @attrs.frozen
@@ -119,18 +119,18 @@
     async def place(self) -> None:
         """Order what the layout of each service needs."""
         now = self.clock()
-        self._see(now)
+        self._note_changes(now)
         if self.routing_state.table is None:
             return
         for service in self.routing_state.table.services.values():
             if service.shape is not None:
                 await self._place_service(service.name, service.shape, now)
 
-    def _see(self, now: float) -> None:
+    def _note_changes(self, now: float) -> None:
         """Note new endpoints, and orders whose effect shows."""
         present = self.routing_state.fleet.endpoints
         new = set(present) - self.known
-        if len(new) > LATE_SHARE * len(present):
+        if len(new) > MAX_NEW_SHARE * len(present):
             self.grown_at = now
         self.known = set(present)
         for endpoint_id in set(self.accepted) - self.known:
@@ -141,49 +141,55 @@
             self.turns.clear()
         for endpoint_id, order in list(self.pending.items()):
             endpoint = present.get(endpoint_id)
-            shown = endpoint is not None and endpoint.layers == order.assignment.layers
-            if endpoint is None or shown or order.until < now:
+            in_effect = (
+                endpoint is not None and endpoint.layers == order.assignment.layers
+            )
+            if endpoint is None or in_effect or order.until < now:
                 del self.pending[endpoint_id]
 
     async def _place_service(
         self, service: str, shape: EngineShape, now: float
     ) -> None:
-        endpoints = [self._expected(e) for e in self.routing_state.members(service)]
+        endpoints = [
+            self._with_pending_order(e) for e in self.routing_state.members(service)
+        ]
         holds_nothing = all(e.layers is None for e in endpoints)
-        if holds_nothing and now - self.grown_at < SETTLE:
+        if holds_nothing and now - self.grown_at < SETTLE_TIME:
             return
-        given: list[asyncio.Task] = []
+        tasks: list[asyncio.Task] = []
         for group in groups_of(endpoints, shape):
-            plan = await in_slices(search_group(group, shape))
-            given += await self._give(plan, shape, now)
-        if not given:
+            plan = await run_in_slices(search_group(group, shape))
+            tasks += await self._send_orders(plan, shape, now)
+        if not tasks:
             plan = await self._improvement(service, endpoints, shape, now)
-            given += await self._give(plan, shape, now)
-        if given:
+            tasks += await self._send_orders(plan, shape, now)
+        if tasks:
             # An answer that is lost does not hold up what else has to be placed.
-            await asyncio.wait(given, timeout=PERIOD)
+            await asyncio.wait(tasks, timeout=PERIOD)
 
-    async def _give(
+    async def _send_orders(
         self, plan: list[Assignment], shape: EngineShape, now: float
     ) -> list[asyncio.Task]:
         """Begin to give the orders of a plan, if this entry still may."""
-        if not plan or not self.holder.held or not await self._may_order():
+        if not plan or not self.holder.held or not await self._confirm_duty():
             return []
-        together = self._layers_moved(plan)
-        given = []
+        moved_layers = self._count_moved_layers(plan)
+        tasks = []
         for assignment in plan:
-            length = self._length(max(together, len(assignment.layers)), shape)
-            order = asyncio.ensure_future(self._order(assignment, length, now))
-            order.add_done_callback(self._on_given)
-            given.append(order)
-        return given
-
-    def _on_given(self, order: asyncio.Task) -> None:
+            duration = self._expected_duration(
+                max(moved_layers, len(assignment.layers)), shape
+            )
+            order = asyncio.ensure_future(self._order(assignment, duration, now))
+            order.add_done_callback(self._on_order_done)
+            tasks.append(order)
+        return tasks
+
+    def _on_order_done(self, order: asyncio.Task) -> None:
         """Tell of a defect in the giving of an order, which nobody waits for."""
         if not order.cancelled() and order.exception() is not None:
             self.log.failed(order.exception())
 
-    def _layers_moved(self, plan: list[Assignment]) -> int:
+    def _count_moved_layers(self, plan: list[Assignment]) -> int:
         """Return the layers that are loaded at once by endpoints that hold others.
 
         Loads beside one another share the store of weights, so that all take as long
@@ -193,7 +199,7 @@
         moved = [a for a in plan if a.endpoint in known and known[a.endpoint].layers]
         return sum(len(assignment.layers) for assignment in moved)
 
-    def _length(self, layers: int, shape: EngineShape) -> float:
+    def _expected_duration(self, layers: int, shape: EngineShape) -> float:
         """Return the seconds in which some layers are loaded and it is heard of."""
         return shape.load_seconds * layers / shape.layers + ORDER_MARGIN
 
@@ -207,18 +213,18 @@
         ids = {endpoint.id for endpoint in endpoints}
         suspected = ids & self.routing_state.suspects.excluded(now)
         quiet = now - self.changed_at
-        if self.pending or suspected or quiet < QUIET:
+        if self.pending or suspected or quiet < QUIET_TIME:
             return []
         groups = len({endpoint.zone for endpoint in endpoints})
-        looks = 1 + int(log2(quiet / QUIET))
+        passes = 1 + int(log2(quiet / QUIET_TIME))
         turn = self.turns.get(service, 0)
-        if turn >= groups * looks:
+        if turn >= groups * passes:
             return []
         self.turns[service] = turn + 1
-        found = await in_slices(search_improvement(endpoints, shape, quiet, turn))
+        found = await run_in_slices(search_improvement(endpoints, shape, quiet, turn))
         return found if self.routing_state.fleet.revision == self.revision else []
 
-    async def _may_order(self) -> bool:
+    async def _confirm_duty(self) -> bool:
         """Tell whether this entry still has the duty.
 
         Where endpoints refuse old fencing numbers they find that out themselves;
@@ -234,24 +240,24 @@
             return True
         if isinstance(found, Unavailable):
             age = self.clock() - self.routing_state.fleet.known_at
-            return self.holder.held and age < TRUSTED_AGE
+            return self.holder.held and age < MAX_DIRECTORY_AGE
         if isinstance(found, Lease):
             self.holder.accept_lease(found, self.clock())
         return False
 
-    def _expected(self, endpoint: Endpoint) -> Endpoint:
+    def _with_pending_order(self, endpoint: Endpoint) -> Endpoint:
         """Return an endpoint as it will be once its order is done."""
         order = self.pending.get(endpoint.id)
         if order is None:
             return endpoint
         return attrs.evolve(endpoint, layers=order.assignment.layers)
 
-    async def _order(self, assignment: Assignment, length: float, now: float) -> None:
+    async def _order(self, assignment: Assignment, duration: float, now: float) -> None:
         endpoint = self.routing_state.fleet.endpoints.get(assignment.endpoint)
         lease = self.holder.lease
         if endpoint is None or lease is None:
             return
-        self.pending[endpoint.id] = PendingOrder(assignment, now + length)
+        self.pending[endpoint.id] = PendingOrder(assignment, now + duration)
         if endpoint.layers is not None and len(endpoint.layers):
             # It takes nothing new for the layers that it gives up.
             self.routing_state.suspects.suspect(endpoint.id, "ordered to move", now)
@@ -267,7 +273,7 @@
             accepted=accepted,
             outcome=outcome.value,
         )
-        await self._note(endpoint, outcome, accepted)
+        await self._apply_outcome(endpoint, outcome, accepted)
 
     async def _accepted_by(self, endpoint: Endpoint) -> int | None:
         """Return how many orders an endpoint has accepted, None if that is unknown.
@@ -287,7 +293,7 @@
         found = await self.reports.report(endpoint.address, REPORT_TIMEOUT)
         return found if isinstance(found, EngineReport) else None
 
-    async def _note(
+    async def _apply_outcome(
         self, endpoint: Endpoint, outcome: OrderOutcome, accepted: int | None
     ) -> None:
         """Take what became of an order.
@@ -306,11 +312,11 @@
         elif outcome is OrderOutcome.UNKNOWN and accepted is not None:
             self.accepted[endpoint.id] = accepted
         elif outcome is OrderOutcome.MISFIT:
-            await self._ask_after(endpoint, accepted)
+            await self._correct_accepted(endpoint, accepted)
         else:
             self.accepted.pop(endpoint.id, None)
 
-    async def _ask_after(self, endpoint: Endpoint, accepted: int | None) -> None:
+    async def _correct_accepted(self, endpoint: Endpoint, accepted: int | None) -> None:
         """Learn from an endpoint that rejected an order what it has accepted.
 
         Unless it is carrying out another order it is given this one again, with the
@@ -325,7 +331,7 @@
             self.pending.pop(endpoint.id, None)
 
 
-async def in_slices(search: Search) -> list[Assignment]:
+async def run_in_slices(search: Search) -> list[Assignment]:
     """Return what a search finds, passing events on between its steps.
 
     Steps of a few tens of microseconds go together: passing events on costs as much.
@@ -337,6 +343,6 @@
             next(search)
         except StopIteration as end:
             return end.value
-        if loop.time() - began > SLICE:
+        if loop.time() - began > SEARCH_SLICE:
             await asyncio.sleep(0)
             began = loop.time()
--- a/packages/relay/tests/relay/test_placement_duty.py
+++ b/packages/relay/tests/relay/test_placement_duty.py
@@ -12,9 +12,9 @@
 from lacewingcourse.core.pipelines.suspects import Suspicion
 from lacewingcourse.relay.duty_holder import DutyHolder
 from lacewingcourse.relay.placement_duty import (
+    MAX_DIRECTORY_AGE,
     PERIOD,
-    QUIET,
-    TRUSTED_AGE,
+    QUIET_TIME,
     PlacementDuty,
 )
 from lacewingcourse.relay.ports import (
@@ -53,30 +53,32 @@
     store = Leases(Lease("me", 3))
     duty = make_duty(store)
     duty.holder.lease = Lease("me", 3)
-    assert asyncio.run(duty._may_order())
+    assert asyncio.run(duty._confirm_duty())
     store.holder = Lease("other", 4)
-    assert not asyncio.run(duty._may_order())
+    assert not asyncio.run(duty._confirm_duty())
     assert duty.holder.lease == Lease("other", 4)
 
 
-def test_without_fencing_nothing_is_ordered_while_the_store_is_away(make_duty):
+def test_without_fencing_nothing_is_ordered_while_the_store_is_unavailable(make_duty):
     duty = make_duty(Leases(Unavailable("refused")))
     duty.holder.lease = Lease("me", 3)
-    assert not asyncio.run(duty._may_order())
+    assert not asyncio.run(duty._confirm_duty())
     assert duty.holder.held
 
 
-@pytest.mark.parametrize(("age", "may"), [(0.5, True), (TRUSTED_AGE + 0.1, False)])
-def test_a_holder_without_the_store_goes_on_while_others_tell_of_the_directory(
+@pytest.mark.parametrize(
+    ("age", "may"), [(0.5, True), (MAX_DIRECTORY_AGE + 0.1, False)]
+)
+def test_a_holder_without_the_store_orders_while_its_directory_is_recent(
     make_duty, age, may
 ):
     """Five lost endpoints had stayed without repair for 11 seconds."""
     duty = make_duty(Leases(Unavailable("refused")), clock=lambda: 10.0)
     duty.holder.lease = Lease("me", 3)
     duty.routing_state.fleet.confirm(10.0 - age)
-    assert asyncio.run(duty._may_order()) is may
+    assert asyncio.run(duty._confirm_duty()) is may
     duty.holder.from_peer("other", 4)
-    assert not asyncio.run(duty._may_order())
+    assert not asyncio.run(duty._confirm_duty())
 
 
 class Orders:
@@ -91,7 +93,7 @@
 
 
 @pytest.fixture
-def lopsided(make_duty, shape, small):
+def uneven_layers(make_duty, shape, small):
     """A duty that is held, over four endpoints of which three hold the first layer."""
     now = [0.0]
     duty = make_duty(Leases(None), orders=Orders(), clock=lambda: now[0])
@@ -103,9 +105,9 @@
     return duty, now
 
 
-def place_until(lopsided, seconds):
+def place_until(uneven_layers, seconds):
     """Let a duty look at the layers until a time; return it."""
-    duty, now = lopsided
+    duty, now = uneven_layers
 
     async def run():
         while now[0] < seconds:
@@ -116,25 +118,25 @@
     return duty
 
 
-def test_a_stand_in_that_is_not_needed_moves_once_all_is_quiet(lopsided):
-    assert place_until(lopsided, QUIET - PERIOD).orders.placed == {}
-    placed = place_until(lopsided, 40 * QUIET).orders.placed
+def test_a_surplus_copy_moves_once_the_fleet_has_not_changed_for_a_while(uneven_layers):
+    assert place_until(uneven_layers, QUIET_TIME - PERIOD).orders.placed == {}
+    placed = place_until(uneven_layers, 40 * QUIET_TIME).orders.placed
     assert list(placed.values()) == [Layers(1, 2)]
 
 
-def test_an_endpoint_that_moves_gets_no_new_work(lopsided):
-    duty = place_until(lopsided, 40 * QUIET)
+def test_an_endpoint_that_moves_gets_no_new_work(uneven_layers):
+    duty = place_until(uneven_layers, 40 * QUIET_TIME)
     (moved,) = duty.orders.placed
     assert duty.routing_state.suspects.members[moved].reason == "ordered to move"
 
 
-def test_nothing_moves_while_an_endpoint_is_suspected(lopsided):
-    duty, _ = lopsided
+def test_nothing_moves_while_an_endpoint_is_suspected(uneven_layers):
+    duty, _ = uneven_layers
     duty.routing_state.suspects.members["d"] = Suspicion(1e9, 1, 0.0, "reset")
-    assert place_until(lopsided, 40 * QUIET).orders.placed == {}
+    assert place_until(uneven_layers, 40 * QUIET_TIME).orders.placed == {}
 
 
-def test_a_fleet_has_its_orders_two_seconds_after_the_start(make_duty, shape, small):
+def test_a_new_fleet_has_its_orders_after_two_seconds(make_duty, shape, small):
     """Endpoints register over a second, the last few of them late."""
     now = [0.0]
     duty = make_duty(Leases(None), orders=Orders(), clock=lambda: now[0])
@@ -159,18 +161,18 @@
     assert len(duty.orders.placed) == 114
 
 
-def test_a_defect_in_an_order_is_told_and_holds_up_nothing(lopsided):
-    duty, _ = lopsided
-    told = []
+def test_a_defect_in_an_order_is_logged_and_blocks_nothing(uneven_layers):
+    duty, _ = uneven_layers
+    logged = []
 
     async def fail(endpoint, layers, fencing, accepted):
         raise ValueError("a defect")
 
     duty.orders.place = fail
-    duty.log.failed = told.append
-    place_until(lopsided, 40 * QUIET)
-    assert told
-    assert all(str(error) == "a defect" for error in told)
+    duty.log.failed = logged.append
+    place_until(uneven_layers, 40 * QUIET_TIME)
+    assert logged
+    assert all(str(error) == "a defect" for error in logged)
 
 
 class LateEndpoint:
@@ -185,41 +187,41 @@
 
     def __init__(self, now) -> None:
         self.now = now
-        self.late = None
+        self.late_order = None
         self.loads: list[Layers] = []
-        self.shown_at = float("inf")
+        self.listed_at = float("inf")
 
     async def place(self, endpoint, layers, fencing, accepted=None):
-        if self.late is None:
-            self.late = (self.now[0] + 4.5, layers, accepted)
+        if self.late_order is None:
+            self.late_order = (self.now[0] + 4.5, layers, accepted)
             return OrderOutcome.UNKNOWN
         return self._accept(layers, accepted)
 
     async def report(self, address, patience):
         return EngineReport(accepted=len(self.loads), busy=bool(self.loads))
 
-    def arrive(self):
+    def deliver(self):
         """Carry out the late order once it is there."""
-        if self.late is not None and self.late[0] <= self.now[0]:
-            self._accept(*self.late[1:])
-            self.late = (float("inf"), None, None)
+        if self.late_order is not None and self.late_order[0] <= self.now[0]:
+            self._accept(*self.late_order[1:])
+            self.late_order = (float("inf"), None, None)
 
     def _accept(self, layers, accepted):
         if accepted is not None and accepted != len(self.loads):
             return OrderOutcome.MISFIT
         self.loads.append(layers)
-        self.shown_at = self.now[0] + 1.5
+        self.listed_at = self.now[0] + 1.5
         return OrderOutcome.BEGUN
 
 
 @pytest.mark.parametrize("lost", [None, "b"])
-def test_an_order_that_comes_late_is_not_carried_out_beside_a_second_one(
+def test_a_late_order_is_not_carried_out_besides_a_second_one(
     make_duty, shape, small, lost
 ):
     """An endpoint was ordered to three places in turn, and loaded each."""
     now = [0.0]
-    late = LateEndpoint(now)
-    duty = make_duty(Leases(None), late, lambda: now[0], reports=late)
+    late_endpoint = LateEndpoint(now)
+    duty = make_duty(Leases(None), late_endpoint, lambda: now[0], reports=late_endpoint)
     duty.holder.lease = duty.holder.store.holder = Lease("me", 1)
     service = SimpleNamespace(name="rooms", shape=shape)
     duty.routing_state.table = SimpleNamespace(services={"rooms": service})
@@ -230,14 +232,14 @@
     async def run():
         while now[0] < 12.0:
             now[0] += PERIOD
-            late.arrive()
-            if late.shown_at <= now[0]:
+            late_endpoint.deliver()
+            if late_endpoint.listed_at <= now[0]:
                 duty.routing_state.fleet.put(
-                    attrs.evolve(small("d", 0), layers=late.loads[0])
+                    attrs.evolve(small("d", 0), layers=late_endpoint.loads[0])
                 )
             if lost and now[0] == 3.0:
                 duty.routing_state.fleet.remove(lost, now[0])
             await duty.place()
 
     asyncio.run(run())
-    assert len(late.loads) == 1
+    assert len(late_endpoint.loads) == 1
