--- a/packages/relay/src/lacewingcourse/relay/duty_holder.py
+++ b/packages/relay/src/lacewingcourse/relay/duty_holder.py
@@ -93,8 +93,8 @@
         Gossip messages carry the age of the holder's last message. In a large
         deployment most entries receive messages of a holder in another availability
         zone through hubs only; without the age each of them would consider the holder
-        dead. The timeout starts anew with a lease that is new to this entry, and
-        entries take over in order of rank.
+        dead. A lease that this entry first reads in the store gets the whole timeout.
+        Entries take over in order of rank.
         """
         if self.is_leaving() or self.held:
             return False
--- a/packages/relay/src/lacewingcourse/relay/placement_duty.py
+++ b/packages/relay/src/lacewingcourse/relay/placement_duty.py
@@ -1,4 +1,4 @@
-"""The duty of placing layers: what its holder orders, and when."""
+"""The placement duty: its holder orders endpoints to load layers."""
 
 from __future__ import annotations
 
@@ -24,37 +24,38 @@
     from lacewingcourse.relay.ports import EngineReports, Orders
     from lacewingcourse.relay.routing_state import RoutingState
 
-#: Seconds between two looks at what is placed.
+#: Seconds between two checks of the placement.
 PERIOD = 0.25
-#: Seconds in which a fleet that holds nothing must hardly grow before it is planned: a
-#: plan of half a fleet would cut its copies badly. The directory is read twice a
-#: second, so one more read has told nothing new.
+#: Seconds without notable growth after which a fleet that holds no layers is planned: a
+#: plan for half of the fleet would divide the layers badly. The directory is read twice
+#: a second, so at least one more read has found nothing new.
 SETTLE_TIME = 0.8
-#: Share of the endpoints that may come later; they are given what is weakest then.
+#: Share of the endpoints that may be new without delaying the plan. Endpoints that come
+#: after it get the layers that need them most.
 MAX_NEW_SHARE = 0.05
-#: Seconds that an order may take beyond its load before it is given again. Entries
-#: are written every heartbeat of about a second, and answers may be lost.
+#: Seconds beyond the load time after which an order is sent again. Endpoints write
+#: their directory entries at each heartbeat of about a second, and answers may be lost.
 ORDER_MARGIN = 3.0
-#: Seconds without a change of the fleet before a better layout is looked for: an
-#: endpoint that crashed is back within some seconds, and may need its layers again.
+#: Seconds without a change of the fleet after which a better layout is searched: an
+#: endpoint that crashed restarts within some seconds, and may need its layers again.
 QUIET_TIME = 2.0
-#: Seconds in which an endpoint must tell how many orders it has accepted.
+#: Timeout in seconds of a request for an endpoint's report.
 REPORT_TIMEOUT = 0.5
-#: Seconds for which a search may hold up this entry's other work. Streams are passed on
-#: meanwhile, and callers are allowed pauses of some hundred milliseconds.
+#: Seconds for which a search may block the event loop before it yields. The loop also
+#: forwards streams, whose callers accept pauses of some hundred milliseconds.
 SEARCH_SLICE = 0.005
-#: Age in seconds of what is known of the directory up to which a holder without the
-#: store goes on. The directory is read twice a second, so this is two missed reads.
+#: Age in seconds of the known directory up to which a holder keeps ordering while the
+#: store is unavailable. The directory is read twice a second, so two reads may fail.
 MAX_DIRECTORY_AGE = 1.5
 
 
 @attrs.frozen
 class PendingOrder:
-    """An order whose effect has not been seen.
+    """An order whose effect the directory does not show yet.
 
     Attributes:
-        assignment: What was ordered.
-        until: Time until which its effect is expected, seconds.
+        assignment: The ordered assignment.
+        until: Time by which its effect is expected, seconds.
     """
 
     assignment: Assignment
@@ -63,23 +64,23 @@
 
 @attrs.define
 class PlacementDuty:
-    """Places layers while this entry has the duty.
+    """Places layers on endpoints while this entry holds the duty.
 
     Attributes:
-        holder: Who has the duty.
-        orders: Orders to endpoints.
-        reports: What endpoints tell of themselves.
-        routing_state: What is believed of the endpoints.
-        log: Log of decisions.
+        holder: The lease of the duty as this entry knows it.
+        orders: Sends orders to endpoints.
+        reports: Requests the reports of engines.
+        routing_state: State that holds the configuration and the known endpoints.
+        log: Decision log.
         clock: Returns the present time in seconds.
         fencing_checked: Whether endpoints refuse orders of earlier holders.
-        pending: Orders whose effect has not been seen, by endpoint.
-        accepted: Orders that endpoints have accepted, by id, where that is known.
-        known: Endpoints seen, to tell when the last one came.
-        grown_at: When more than a few endpoints last came, seconds.
-        revision: Revision of the fleet that was seen last.
-        changed_at: When it changed, seconds.
-        turns: Groups of each service that were looked at for a better layout since.
+        pending: Orders whose effect the directory does not show yet, by endpoint id.
+        accepted: Number of orders accepted by each endpoint, by id, where known.
+        known: Ids of the endpoints that were listed at the last check.
+        grown_at: When new endpoints last exceeded the share `MAX_NEW_SHARE`, seconds.
+        revision: Revision of the fleet at the last check.
+        changed_at: When the revision last changed, seconds.
+        turns: Number of searches for a better layout since then, by service.
     """
 
     holder: DutyHolder
@@ -101,7 +102,7 @@
         self.holder.on_change = self._forget_orders
 
     async def run(self) -> None:
-        """Take the duty when nobody has it, and do it while it is ours."""
+        """Acquire the duty when it is due, and place layers while holding it."""
         while True:
             if self.holder.held:
                 if self.holder.is_leaving():
@@ -112,12 +113,12 @@
             await asyncio.sleep(PERIOD)
 
     def _forget_orders(self) -> None:
-        """Forget what was ordered: somebody else may have ordered since."""
+        """Forget all orders, as another holder may have sent others since."""
         self.pending.clear()
         self.accepted.clear()
 
     async def place(self) -> None:
-        """Order what the layout of each service needs."""
+        """Send the orders that the layout of each service needs."""
         now = self.clock()
         self._note_changes(now)
         if self.routing_state.table is None:
@@ -127,7 +128,7 @@
                 await self._place_service(service.name, service.shape, now)
 
     def _note_changes(self, now: float) -> None:
-        """Note new endpoints, and orders whose effect shows."""
+        """Record changes of the fleet, and drop orders that have taken effect."""
         present = self.routing_state.fleet.endpoints
         new = set(present) - self.known
         if len(new) > MAX_NEW_SHARE * len(present):
@@ -164,13 +165,13 @@
             plan = await self._improvement(service, endpoints, shape, now)
             tasks += await self._send_orders(plan, shape, now)
         if tasks:
-            # An answer that is lost does not hold up what else has to be placed.
+            # The timeout keeps a lost answer from delaying other orders.
             await asyncio.wait(tasks, timeout=PERIOD)
 
     async def _send_orders(
         self, plan: list[Assignment], shape: EngineShape, now: float
     ) -> list[asyncio.Task]:
-        """Begin to give the orders of a plan, if this entry still may."""
+        """Start sending the orders of a plan if this entry still holds the duty."""
         if not plan or not self.holder.held or not await self._confirm_duty():
             return []
         moved_layers = self._count_moved_layers(plan)
@@ -185,30 +186,30 @@
         return tasks
 
     def _on_order_done(self, order: asyncio.Task) -> None:
-        """Tell of a defect in the giving of an order, which nobody waits for."""
+        """Log the error of a failed task, whose result nothing else reads."""
         if not order.cancelled() and order.exception() is not None:
             self.log.failed(order.exception())
 
     def _count_moved_layers(self, plan: list[Assignment]) -> int:
-        """Return the layers that are loaded at once by endpoints that hold others.
+        """Return the number of layers to be loaded by endpoints that hold others.
 
-        Loads beside one another share the store of weights, so that all take as long
-        as if one followed the other; those of an empty fleet are much faster.
+        Concurrent loads share the weight store, so all of them together take as long as
+        one after the other. Loads of an empty fleet are much faster.
         """
         known = self.routing_state.fleet.endpoints
         moved = [a for a in plan if a.endpoint in known and known[a.endpoint].layers]
         return sum(len(assignment.layers) for assignment in moved)
 
     def _expected_duration(self, layers: int, shape: EngineShape) -> float:
-        """Return the seconds in which some layers are loaded and it is heard of."""
+        """Return the seconds within which the directory should show loaded layers."""
         return shape.load_seconds * layers / shape.layers + ORDER_MARGIN
 
     async def _improvement(
         self, service: str, endpoints: list[Endpoint], shape: EngineShape, now: float
     ) -> list[Assignment]:
-        """Return moves to a better layout once nothing has changed for a while.
+        """Return moves to a better layout if the fleet has not changed for a while.
 
-        Each group is looked at again whenever the quiet has lasted twice as long.
+        Each group is searched again whenever the time without a change has doubled.
         """
         ids = {endpoint.id for endpoint in endpoints}
         suspected = ids & self.routing_state.suspects.excluded(now)
@@ -225,13 +226,13 @@
         return found if self.routing_state.fleet.revision == self.revision else []
 
     async def _confirm_duty(self) -> bool:
-        """Tell whether this entry still has the duty.
+        """Return whether this entry still holds the duty, asking the store if needed.
 
-        Where endpoints refuse old fencing numbers they find that out themselves;
-        elsewhere the store is asked before each plan. A holder that the store turns
-        away goes on while it learns from other entries what they read of the directory:
-        from them it would hear of another holder too. Waiting for the store, it
-        would leave lost endpoints without repair.
+        Endpoints that check fencing numbers refuse the orders of an earlier holder
+        themselves; otherwise the store is read before each plan. While the store is
+        unavailable to it, a holder keeps ordering as long as other entries send it
+        recent directory entries, since their messages would also name another holder.
+        If it waited for the store, lost endpoints would stay without replacement.
         """
         if self.fencing_checked:
             return True
@@ -246,7 +247,7 @@
         return False
 
     def _with_pending_order(self, endpoint: Endpoint) -> Endpoint:
-        """Return an endpoint as it will be once its order is done."""
+        """Return an endpoint with the layers of its pending order, if it has one."""
         order = self.pending.get(endpoint.id)
         if order is None:
             return endpoint
@@ -259,7 +260,7 @@
             return
         self.pending[endpoint.id] = PendingOrder(assignment, now + duration)
         if endpoint.layers is not None and len(endpoint.layers):
-            # It takes nothing new for the layers that it gives up.
+            # It must get no new requests for the layers that it drops.
             self.routing_state.suspects.suspect(endpoint.id, "ordered to move", now)
         accepted = await self._accepted_by(endpoint)
         outcome = await self.orders.place(
@@ -276,10 +277,10 @@
         await self._apply_outcome(endpoint, outcome, accepted)
 
     async def _accepted_by(self, endpoint: Endpoint) -> int | None:
-        """Return how many orders an endpoint has accepted, None if that is unknown.
+        """Return how many orders an endpoint has accepted, None if unknown.
 
-        One that holds nothing is taken to have accepted none: if another holder's order
-        is under way there, it rejects this one, and goes on with what it was given.
+        An endpoint without layers is assumed to have accepted none. If it is carrying
+        out an order of another holder, it rejects this one and continues.
         """
         if endpoint.id in self.accepted:
             return self.accepted[endpoint.id]
@@ -289,18 +290,19 @@
         return report.accepted if report is not None else None
 
     async def _report(self, endpoint: Endpoint) -> EngineReport | None:
-        """Return what an endpoint tells of itself, None if it does not answer."""
+        """Return the report of an endpoint, None if it sends no usable one."""
         found = await self.reports.report(endpoint.address, REPORT_TIMEOUT)
         return found if isinstance(found, EngineReport) else None
 
     async def _apply_outcome(
         self, endpoint: Endpoint, outcome: OrderOutcome, accepted: int | None
     ) -> None:
-        """Take what became of an order.
+        """Apply the outcome of an order.
 
-        Without an answer it may still be carried out, seconds later. The next order
-        then names the same number of accepted ones, so that of the two only one is: a
-        server had been ordered to three places in turn, and loaded each.
+        An order without an answer may still be carried out seconds later. The next
+        order carries the same number of accepted orders, so that the endpoint carries
+        out only one of the two. Without this number an endpoint was ordered to three
+        ranges of layers in turn, and loaded each of them.
         """
         if outcome is OrderOutcome.FENCED:
             self.holder.lease = None
@@ -317,10 +319,10 @@
             self.accepted.pop(endpoint.id, None)
 
     async def _correct_accepted(self, endpoint: Endpoint, accepted: int | None) -> None:
-        """Learn from an endpoint that rejected an order what it has accepted.
+        """Read the number of accepted orders from an endpoint that rejected an order.
 
-        Unless it is carrying out another order it is given this one again, with the
-        right number.
+        Unless the endpoint is carrying out another order, its order is planned again
+        with the right number.
         """
         self.accepted.pop(endpoint.id, None)
         report = await self._report(endpoint)
@@ -332,9 +334,12 @@
 
 
 async def run_in_slices(search: Search) -> list[Assignment]:
-    """Return what a search finds, passing events on between its steps.
+    """Run a search to its end, yielding to the event loop between its steps.
 
-    Steps of a few tens of microseconds go together: passing events on costs as much.
+    Steps of a few tens of microseconds run together, since yielding costs as much.
+
+    Returns:
+        The assignments that the search found.
     """
     loop = asyncio.get_running_loop()
     began = loop.time()
--- a/packages/relay/tests/relay/test_placement_duty.py
+++ b/packages/relay/tests/relay/test_placement_duty.py
@@ -1,4 +1,4 @@
-"""Tests of what the holder of the duty of placing orders."""
+"""Tests of the orders that the holder of the placement duty sends."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Reports:
-    """Endpoints that tell nothing of themselves."""
+    """Reports of endpoints that do not answer."""
 
     async def report(self, address, patience):
         return Unavailable("refused")
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def make_duty():
-    """Return a function that makes the duty of an entry named `me`."""
+    """Return a function that makes the placement duty of an entry named `me`."""
 
     def make(store, orders=None, clock=lambda: 0.0, reports=None):
         log = SimpleNamespace(log_event=lambda event, **fields: None)
@@ -72,7 +72,7 @@
 def test_a_holder_without_the_store_orders_while_its_directory_is_recent(
     make_duty, age, may
 ):
-    """Five lost endpoints had stayed without repair for 11 seconds."""
+    """Guards against a wait for the store that left five lost endpoints for 11 s."""
     duty = make_duty(Leases(Unavailable("refused")), clock=lambda: 10.0)
     duty.holder.lease = Lease("me", 3)
     duty.routing_state.fleet.confirm(10.0 - age)
@@ -82,7 +82,7 @@
 
 
 class Orders:
-    """Orders that are noted and begun."""
+    """Orders that endpoints accept, recorded by endpoint."""
 
     def __init__(self) -> None:
         self.placed: dict[str, Layers] = {}
@@ -94,7 +94,7 @@
 
 @pytest.fixture
 def uneven_layers(make_duty, shape, small):
-    """A duty that is held, over four endpoints of which three hold the first layer."""
+    """A held duty over four endpoints, three of which hold the first layer."""
     now = [0.0]
     duty = make_duty(Leases(None), orders=Orders(), clock=lambda: now[0])
     duty.holder.lease = duty.holder.store.holder = Lease("me", 1)
@@ -106,7 +106,7 @@
 
 
 def place_until(uneven_layers, seconds):
-    """Let a duty look at the layers until a time; return it."""
+    """Run the periodic checks of a duty until a time; return the duty."""
     duty, now = uneven_layers
 
     async def run():
@@ -137,7 +137,7 @@
 
 
 def test_a_new_fleet_has_its_orders_after_two_seconds(make_duty, shape, small):
-    """Endpoints register over a second, the last few of them late."""
+    """Most endpoints register within 1.5 seconds, the last one after the plan."""
     now = [0.0]
     duty = make_duty(Leases(None), orders=Orders(), clock=lambda: now[0])
     duty.holder.lease = duty.holder.store.holder = Lease("me", 1)
@@ -176,13 +176,13 @@
 
 
 class LateEndpoint:
-    """An endpoint that carries out its first order seconds later, without an answer.
+    """An endpoint whose first order arrives seconds late and gets no answer.
 
     Attributes:
         now: The present time.
-        late: Time of arrival, layers and named count of the order that is late.
-        loads: Layers of the orders that it has accepted.
-        shown_at: When its entry tells what it holds.
+        late_order: Arrival time, layers and required accepted count of the late order.
+        loads: Layers of the accepted orders.
+        listed_at: When its directory entry shows its layers.
     """
 
     def __init__(self, now) -> None:
@@ -201,7 +201,7 @@
         return EngineReport(accepted=len(self.loads), busy=bool(self.loads))
 
     def deliver(self):
-        """Carry out the late order once it is there."""
+        """Carry out the late order once its arrival time has come."""
         if self.late_order is not None and self.late_order[0] <= self.now[0]:
             self._accept(*self.late_order[1:])
             self.late_order = (float("inf"), None, None)
@@ -218,7 +218,7 @@
 def test_a_late_order_is_not_carried_out_besides_a_second_one(
     make_duty, shape, small, lost
 ):
-    """An endpoint was ordered to three places in turn, and loaded each."""
+    """Guards against an endpoint that got three orders in turn and loaded each."""
     now = [0.0]
     late_endpoint = LateEndpoint(now)
     duty = make_duty(Leases(None), late_endpoint, lambda: now[0], reports=late_endpoint)
