--- a/packages/relay/src/lacewingcourse/relay/decoding.py
+++ b/packages/relay/src/lacewingcourse/relay/decoding.py
@@ -18,11 +18,11 @@
 T = TypeVar("T")
 
 #: Characters of a reason that are kept; a document may hold anything at any length.
-MOST_REASON = 200
+MAX_REASON_LENGTH = 200
 #: Key of the metadata of an attribute that stands under another name in documents.
 DOCUMENT_NAME = "document_name"
 #: What the library says of where something is wrong: steps with indexes.
-PLACE = re.compile(r"\$[\w.\[\]]*")
+JSON_PATH = re.compile(r"\$[\w.\[\]]*")
 #: What the content of a document can make the library raise.
 CONTENT_ERRORS = (
     ValueError,
@@ -47,7 +47,11 @@
 
 def shortened(text: str) -> str:
     """Return text at a length that may be logged."""
-    return text if len(text) <= MOST_REASON else text[: MOST_REASON - 3] + "..."
+    return (
+        text
+        if len(text) <= MAX_REASON_LENGTH
+        else text[: MAX_REASON_LENGTH - 3] + "..."
+    )
 
 
 class StrictDecoder:
@@ -61,19 +65,19 @@
         spelled: Names in documents by names of attributes that are spelled otherwise.
     """
 
-    def __init__(self, spell: Callable[[str], str] | None = None) -> None:
+    def __init__(self, document_name: Callable[[str], str] | None = None) -> None:
         """Make a decoder.
 
         Args:
             spell: Returns the name in documents of an attribute; None for the same.
         """
         self.converter = make_converter()
-        self.spelled: dict[str, str] = {}
+        self.document_names: dict[str, str] = {}
         for kind in (bool, str, int):
-            self.converter.register_structure_hook(kind, _exactly(kind))
-        self.converter.register_structure_hook(float, _number)
-        if spell is not None:
-            self._spell = spell
+            self.converter.register_structure_hook(kind, _exact_type_hook(kind))
+        self.converter.register_structure_hook(float, _structure_float)
+        if document_name is not None:
+            self._document_name = document_name
             self.converter.register_structure_hook_factory(attrs.has, self._hook_for)
 
     def decode(self, body: bytes, kind: type[T]) -> T | Undecodable:
@@ -94,24 +98,24 @@
         except (ClassValidationError, IterableValidationError) as error:
             found = transform_error(error, path="$", format_exception=_reason)
             reasons = "; ".join(found)
-            return Undecodable(shortened(PLACE.sub(self._place, reasons)))
+            return Undecodable(shortened(JSON_PATH.sub(self._document_path, reasons)))
         except CONTENT_ERRORS as error:
             return Undecodable(shortened(f"{type(error).__name__}: {error}"))
 
-    def _place(self, found: re.Match) -> str:
+    def _document_path(self, found: re.Match) -> str:
         """Return a place in a document as the document spells it."""
         steps = found[0].split(".")
-        return ".".join(self.spelled.get(step, step) for step in steps)
+        return ".".join(self.document_names.get(step, step) for step in steps)
 
     def _hook_for(self, kind: type) -> Callable[[Any, Any], Any]:
         """Return what makes objects of a class from documents."""
-        renamed = {}
+        overrides = {}
         for attribute in attrs.fields(kind):
-            told = attribute.metadata.get(DOCUMENT_NAME)
-            name = told or self._spell(attribute.name)
-            self.spelled[attribute.name] = name
-            renamed[attribute.name] = override(rename=name)
-        return make_dict_structure_fn(kind, self.converter, **renamed)
+            explicit_name = attribute.metadata.get(DOCUMENT_NAME)
+            name = explicit_name or self._document_name(attribute.name)
+            self.document_names[attribute.name] = name
+            overrides[attribute.name] = override(rename=name)
+        return make_dict_structure_fn(kind, self.converter, **overrides)
 
 
 def _reason(error: BaseException, kind: type | None) -> str:
@@ -121,18 +125,18 @@
     return format_exception(error, kind)
 
 
-def _exactly(kind: type) -> Callable[[Any, Any], Any]:
+def _exact_type_hook(kind: type) -> Callable[[Any, Any], Any]:
     """Return a hook that takes values of one type, truth values apart from numbers."""
 
-    def take(value: Any, _: Any) -> Any:
+    def check_type(value: Any, _: Any) -> Any:
         if type(value) is not kind:
             raise TypeError(f"{type(value).__name__} in place of {kind.__name__}")
         return value
 
-    return take
+    return check_type
 
 
-def _number(value: Any, _: Any) -> float:
+def _structure_float(value: Any, _: Any) -> float:
     if type(value) not in (int, float):
         raise TypeError(f"{type(value).__name__} in place of a number")
     return float(value)
--- a/packages/relay/tests/relay/test_decoding.py
+++ b/packages/relay/tests/relay/test_decoding.py
@@ -11,7 +11,7 @@
 
 from lacewingcourse.core.pipelines.fleet import Endpoint
 from lacewingcourse.core.pipelines.shape import Layers
-from lacewingcourse.relay.decoding import MOST_REASON, StrictDecoder, Undecodable
+from lacewingcourse.relay.decoding import MAX_REASON_LENGTH, StrictDecoder, Undecodable
 from lacewingcourse.relay.peer_messages import (
     FleetSnapshot,
     GossipMessage,
@@ -46,7 +46,7 @@
 GOOD = {"count": 1, "share": 0.5, "name": "a", "sure": True}
 
 
-def news(**changes) -> GossipMessage:
+def gossip_message(**changes) -> GossipMessage:
     """Return a message of an entry."""
     return attrs.evolve(
         GossipMessage(
@@ -86,30 +86,30 @@
         ("sure", 1),
     ],
 )
-def test_a_value_of_another_type_is_refused_with_its_place(field, value):
-    refused = StrictDecoder().structure(GOOD | {field: value}, Sample)
-    assert isinstance(refused, Undecodable)
-    assert f"$.{field}" in refused.reason
+def test_a_value_of_another_type_is_refused_with_its_path(field, value):
+    undecodable = StrictDecoder().structure(GOOD | {field: value}, Sample)
+    assert isinstance(undecodable, Undecodable)
+    assert f"$.{field}" in undecodable.reason
 
 
-def test_whole_numbers_pass_for_shares():
+def test_whole_numbers_are_accepted_as_floats():
     found = StrictDecoder().structure(GOOD | {"share": 1}, Sample)
     assert found == Sample(1, 1.0, "a", True)
 
 
 def test_a_reason_is_bounded():
     found = StrictDecoder().structure({"share": "x" * 9_000}, Sample)
-    assert len(found.reason) <= MOST_REASON
+    assert len(found.reason) <= MAX_REASON_LENGTH
 
 
-def test_messages_between_entries_come_back_as_they_were():
+def test_messages_between_entries_survive_a_round_trip():
     endpoint = Endpoint("a@5", "rooms", "10.0.0.1:1", "east", 6, name="a", born=5)
     endpoint = attrs.evolve(endpoint, layers=Layers(0, 4), sequence=9)
     fleet = FleetSnapshot(
         position=1, age=0.5, endpoints=[endpoint], lapsed={"a@5": 1.0}
     )
     assert decode(encode(fleet), FleetSnapshot) == fleet
-    assert decode(encode(news()), GossipMessage) == news()
+    assert decode(encode(gossip_message()), GossipMessage) == gossip_message()
 
 
 @given(st.binary())
@@ -120,6 +120,6 @@
 
 @given(st.sampled_from([a.name for a in attrs.fields(GossipMessage)]), DOCUMENTS)
 def test_no_value_in_a_message_raises(field, value):
-    document = orjson.loads(encode(news())) | {field: value}
+    document = orjson.loads(encode(gossip_message())) | {field: value}
     found = decode(json.dumps(document).encode(), GossipMessage)
     assert isinstance(found, (GossipMessage, Undecodable))
