--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -399,7 +399,7 @@
         if self.readiness.leaving:
             return
         # The grace time runs while a loop that is held up has not noticed the signal.
-        self.ingress.leave(self.watch.previous_look)
+        self.ingress.leave(self.watch.previous_tick)
         self._start(self._leave())
         self._tell_peers()
         self.ingress.tell_leaving()
--- a/packages/relay/src/lacewingcourse/relay/loop_watch.py
+++ b/packages/relay/src/lacewingcourse/relay/loop_watch.py
@@ -16,9 +16,9 @@
 PERIOD = 0.05
 #: Seconds of lateness from which a line tells what ran. Callers accept pauses of some
 #: hundred milliseconds, and a stream passes several entries and engines.
-TOLD = 0.05
+REPORTED_LATENESS = 0.05
 #: Section that is told if no named one ran for long.
-OTHER = "other work"
+UNNAMED_WORK = "other work"
 
 
 @attrs.frozen
@@ -50,13 +50,13 @@
 
     clock: Callable[[], float] = time.monotonic
     observe: Callable[[float], None] = lambda seconds: None
-    tell: Callable[[float, Section], None] = lambda seconds, section: None
-    longest: Section = Section(OTHER, 0.0)
-    last_look: float = attrs.field()
-    previous_look: float = attrs.field()
+    on_late: Callable[[float, Section], None] = lambda seconds, section: None
+    longest: Section = Section(UNNAMED_WORK, 0.0)
+    last_tick: float = attrs.field()
+    previous_tick: float = attrs.field()
 
-    @last_look.default
-    @previous_look.default
+    @last_tick.default
+    @previous_tick.default
     def _now(self) -> float:
         return self.clock()
 
@@ -77,14 +77,14 @@
             expected = self.clock() + PERIOD
             await asyncio.sleep(PERIOD)
             now = self.clock()
-            self.previous_look, self.last_look = self.last_look, now
-            self.look(now - expected)
+            self.previous_tick, self.last_tick = self.last_tick, now
+            self.record(now - expected)
 
-    def look(self, late: float) -> None:
+    def record(self, late: float) -> None:
         """Take how late the timer was, seconds."""
         self.observe(max(0.0, late))
-        if late > TOLD:
+        if late > REPORTED_LATENESS:
             named = self.longest.seconds > late / 2
-            section = self.longest if named else Section(OTHER, late)
-            self.tell(late, section)
-        self.longest = Section(OTHER, 0.0)
+            section = self.longest if named else Section(UNNAMED_WORK, late)
+            self.on_late(late, section)
+        self.longest = Section(UNNAMED_WORK, 0.0)
--- a/packages/relay/tests/relay/test_request_to_end.py
+++ b/packages/relay/tests/relay/test_request_to_end.py
@@ -32,7 +32,7 @@
         entry = SimpleNamespace(
             readiness=readiness,
             clock=lambda: NOW,
-            watch=SimpleNamespace(previous_look=BEFORE),
+            watch=SimpleNamespace(previous_tick=BEFORE),
             ingress=SimpleNamespace(leave=readiness.leave, tell_leaving=ends_in),
             log=Lines(),
             started=[],
