--- a/packages/relay/src/lacewingcourse/relay/decisions.py
+++ b/packages/relay/src/lacewingcourse/relay/decisions.py
@@ -26,10 +26,10 @@
 #: File descriptor of standard output.
 STDOUT = 1
 #: Lines a second of events without a budget of their own.
-USUAL_LINES_A_SECOND = 200
+DEFAULT_LINES_PER_SECOND = 200
 #: Lines a second of the events that come with each request. Failures and refusals keep
 #: theirs for longest.
-LINES_A_SECOND = {"served": 60, "sent": 60, "refused": 150, "defect": 5}
+MAX_LINES_PER_SECOND = {"served": 60, "sent": 60, "refused": 150, "defect": 5}
 
 
 @attrs.define
@@ -46,13 +46,13 @@
     written: dict[str, int] = attrs.field(factory=dict)
     left_out: int = 0
 
-    def take(self, event: str, now: float) -> bool:
+    def allow(self, event: str, now: float) -> bool:
         """Take one line; tell whether it may be written."""
         if int(now) != self.second:
             self.second = int(now)
             self.written.clear()
         count = self.written.get(event, 0)
-        if count >= LINES_A_SECOND.get(event, USUAL_LINES_A_SECOND):
+        if count >= MAX_LINES_PER_SECOND.get(event, DEFAULT_LINES_PER_SECOND):
             self.left_out += 1
             return False
         self.written[event] = count + 1
@@ -181,7 +181,7 @@
                 entry.
         """
         self.metrics.refused(refusal, job)
-        basis = {"waits_for": waits_for} if waits_for else {}
+        optional_fields = {"waits_for": waits_for} if waits_for else {}
         self._line(
             "refused",
             request=request.id,
@@ -195,7 +195,7 @@
             version=self.version(),
             version_age_ms=_ms(self.version_age()),
             took_ms=_ms(self.clock() - request.received_at),
-            **basis,
+            **optional_fields,
         )
 
     def last_request(
@@ -226,7 +226,7 @@
 
     def failed(self, error: Exception) -> None:
         """Tell of a defect."""
-        if self.budget.take("defect", self.clock()):
+        if self.budget.allow("defect", self.clock()):
             logger.opt(exception=error).error("defect")
         else:
             self.metrics.lines_left_out.inc()
@@ -265,8 +265,8 @@
             waited: Seconds for which it waited for room.
             limit: Requests a second that the endpoint had named, `NO_LIMIT` for none.
         """
-        basis = {} if limit == NO_LIMIT else {"limit": limit}
-        if basis:
+        optional_fields = {} if limit == NO_LIMIT else {"limit": limit}
+        if optional_fields:
             self.metrics.limited_send(job)
         self._line(
             "sent",
@@ -281,7 +281,7 @@
             waited_ms=_ms(waited),
             limited=sorted(job.limited),
             version=self.version(),
-            **basis,
+            **optional_fields,
         )
 
     def not_moved(self, job: Job, cause: Refusal, now: float) -> None:
@@ -352,7 +352,7 @@
 
     def _line(self, event: str, **fields: Any) -> None:
         now = self.clock()
-        if not self.budget.take(event, now):
+        if not self.budget.allow(event, now):
             self.metrics.lines_left_out.inc()
             return
         if self.budget.left_out and event != "left_out":
--- a/packages/relay/tests/relay/test_decisions.py
+++ b/packages/relay/tests/relay/test_decisions.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from lacewingcourse.relay.decisions import LINES_A_SECOND, LineBudget
+from lacewingcourse.relay.decisions import MAX_LINES_PER_SECOND, LineBudget
 
 ROOT = Path(__file__).resolve().parents[4]
 SOURCES = ROOT / "packages/relay/src/lacewingcourse/relay"
@@ -40,23 +40,23 @@
     return {name for row in rows for name in re.findall(r"`(\w+)`", row.split("|")[1])}
 
 
-def test_every_event_stands_on_the_operators_page():
+def test_every_event_is_documented():
     assert logged_events() == documented_events()
 
 
-def test_lines_beyond_the_budget_of_an_event_are_counted():
+def test_lines_beyond_the_limit_of_an_event_are_counted():
     budget = LineBudget()
-    most = LINES_A_SECOND["served"]
-    taken = [budget.take("served", now=5.0) for _ in range(most + 3)]
-    assert taken == [True] * most + [False] * 3
+    limit = MAX_LINES_PER_SECOND["served"]
+    allowed = [budget.allow("served", now=5.0) for _ in range(limit + 3)]
+    assert allowed == [True] * limit + [False] * 3
     assert budget.left_out == 3
-    assert budget.take("refused", now=5.5)
-    assert budget.take("served", now=6.0)
+    assert budget.allow("refused", now=5.5)
+    assert budget.allow("served", now=6.0)
 
 
 @pytest.mark.parametrize("event", ["served", "sent"])
-def test_refusals_keep_their_lines_for_longest(event):
-    assert LINES_A_SECOND["refused"] > LINES_A_SECOND[event]
+def test_refusals_have_a_higher_limit_than_other_requests(event):
+    assert MAX_LINES_PER_SECOND["refused"] > MAX_LINES_PER_SECOND[event]
 
 
 def fail_with(key):
@@ -64,7 +64,7 @@
     return 1 / (len(key) - len(key))
 
 
-def test_a_defect_is_told_in_one_short_line_without_values():
+def test_a_defect_is_logged_in_one_short_line_without_values():
     """Values of variables showed callers' keys, and lines of 8,000 bytes were cut."""
     code = (
         "from packages.relay.tests.relay import test_decisions as t\n"
@@ -74,10 +74,10 @@
         "try:\n    t.fail_with('secret-key')\n"
         "except ZeroDivisionError as error:\n    log.failed(error)\n"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=True
     )
-    (line,) = done.stdout.splitlines()
+    (line,) = completed.stdout.splitlines()
     assert b"secret-key" not in line
     assert len(line) < 2_000
     document = json.loads(line)
