--- a/packages/relay/tests/relay/test_loop_watch.py
+++ b/packages/relay/tests/relay/test_loop_watch.py
@@ -91,7 +91,7 @@
     run(test)
 
 
-@pytest.mark.parametrize("held_up", [0.0, 0.5])
+@pytest.mark.parametrize("block_seconds", [0.0, 0.5])
 def test_the_previous_tick_precedes_work_that_blocked_the_loop(block_seconds):
     async def test():
         loop = asyncio.get_running_loop()
