--- a/packages/relay/src/lacewingcourse/relay/decisions.py
+++ b/packages/relay/src/lacewingcourse/relay/decisions.py
@@ -1,4 +1,4 @@
-"""Log lines for decisions: one JSON object a line on standard output."""
+"""The decision log: one JSON object per line on standard output."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 
 #: File descriptor of standard output.
 STDOUT = 1
-#: Lines a second of events without a budget of their own.
+#: Maximum lines per second of an event without a limit of its own.
 DEFAULT_LINES_PER_SECOND = 200
-#: Lines a second of the events that come with each request. Failures and refusals keep
-#: theirs for longest.
+#: Maximum lines per second by event, for events that occur with each request. Failures
+#: and refusals have the higher limits, so they are left out last.
 MAX_LINES_PER_SECOND = {"served": 60, "sent": 60, "refused": 150, "defect": 5}
 
 
 @attrs.define
 class LineBudget:
-    """Lines of each event that may be written in a second.
+    """Limits the log lines of each event per second.
 
     Attributes:
-        second: The second that is counted.
-        written: Lines written in it, by event.
-        left_out: Lines left out since this was last told.
+        second: The second whose lines are counted.
+        written: Lines written in that second, by event.
+        left_out: Lines left out since their number was last logged.
     """
 
     second: int = 0
@@ -47,7 +47,7 @@
     left_out: int = 0
 
     def allow(self, event: str, now: float) -> bool:
-        """Take one line; tell whether it may be written."""
+        """Count a line; return whether it may be written."""
         if int(now) != self.second:
             self.second = int(now)
             self.written.clear()
@@ -61,10 +61,10 @@
 
 @attrs.define
 class LineWriter:
-    """Writes lines without ever waiting for their reader.
+    """Writes lines to standard output without blocking.
 
     Attributes:
-        dropped: Lines that the reader had no room for.
+        dropped: Number of lines dropped because the pipe was full.
     """
 
     dropped: int = 0
@@ -88,12 +88,21 @@
 
 
 def configure_decision_log(process: str, level: str) -> LineWriter:
-    """Send all log lines from a level on to standard output as JSON."""
+    """Write all log records of a level or above to standard output as JSON.
+
+    Args:
+        process: Name of the process, which each line contains.
+        level: Lowest level that is written.
+
+    Returns:
+        The writer, which counts dropped lines.
+    """
     os.set_blocking(sys.stdout.fileno(), False)
     writer = LineWriter()
     logger.remove()
     logger.configure(extra={"process": process})
-    # The values of variables hold callers' keys, and make lines too long for a pipe.
+    # Values of variables in tracebacks would reveal callers' keys, and make lines longer
+    # than a pipe can take in one write.
     logger.add(
         writer.write, level=level, format="{message}", diagnose=False, backtrace=False
     )
@@ -102,14 +111,14 @@
 
 @attrs.define
 class DecisionLog:
-    """Lines about requests and beliefs.
+    """Logs decisions about requests and changes of state, and updates their metrics.
 
     Attributes:
         clock: Returns the present time in seconds.
-        metrics: Counters that go with the lines.
+        metrics: The metrics of the entry.
         version: Returns the version of the configuration in force.
-        version_age: Returns the seconds since it was known to be the newest.
-        budget: Lines that may be written.
+        version_age: Returns the seconds since that version was known to be the newest.
+        budget: Limit of the lines per second.
     """
 
     clock: Callable[[], float]
@@ -119,7 +128,12 @@
     budget: LineBudget = attrs.field(factory=LineBudget)
 
     def served(self, job: Job, now: float) -> None:
-        """Tell of the end of a request that was answered by an endpoint."""
+        """Log the end of a request that an endpoint answered.
+
+        Args:
+            job: The request.
+            now: Present time in seconds.
+        """
         self.metrics.served(job, now)
         first = job.first_at
         self._line(
@@ -140,11 +154,11 @@
         )
 
     def broken_off(self, job: Job, cause: Refusal, now: float) -> None:
-        """Tell of an answer that a caller was reading and that was not ended whole.
+        """Log an answer that ended incomplete after the caller had received part of it.
 
         Args:
             job: The request.
-            cause: Why the answer could not go on.
+            cause: Why the answer could not be completed.
             now: Present time in seconds.
         """
         self.metrics.broken_off(cause, job)
@@ -171,14 +185,14 @@
         job: Job | None,
         waits_for: str = "",
     ) -> None:
-        """Tell of a request that ended without an endpoint's answer.
+        """Log a request that ended without an answer of an endpoint.
 
         Args:
             request: The request.
             refusal: Why it was refused.
-            job: What was done for it, None if nothing was.
-            waits_for: What its caller is told to wait for, empty if that is no other
-                entry.
+            job: State of its processing, None if none was begun.
+            waits_for: Which event `retry_after` waits for, empty if it is not based on
+                the state of the entries.
         """
         self.metrics.refused(refusal, job)
         optional_fields = {"waits_for": waits_for} if waits_for else {}
@@ -201,12 +215,12 @@
     def last_request(
         self, request: CallerRequest, taken: bool, time: AnswerTime, left: float
     ) -> None:
-        """Tell whether a request was taken that came while this entry ends.
+        """Log whether a request that arrived while this entry is ending was accepted.
 
         Args:
             request: The request.
-            taken: Whether it was.
-            time: How long its answer may take.
+            taken: Whether it was accepted.
+            time: Expected and longest duration of its answer.
             left: Seconds until every answer must have ended.
         """
         self.metrics.last_requests.labels("taken" if taken else "refused").inc()
@@ -221,24 +235,29 @@
         )
 
     def log_event(self, event: str, **fields: Any) -> None:
-        """Tell of a change of what this process believes."""
+        """Log an event that no other method covers, such as a change of state.
+
+        Args:
+            event: Name of the event.
+            **fields: Fields of the log line.
+        """
         self._line(event, **fields)
 
     def failed(self, error: Exception) -> None:
-        """Tell of a defect."""
+        """Log an unexpected error with its traceback."""
         if self.budget.allow("defect", self.clock()):
             logger.opt(exception=error).error("defect")
         else:
             self.metrics.lines_left_out.inc()
 
     def limit(self, endpoint: str, named: float, before: float, origin: str) -> None:
-        """Tell of a limit that an endpoint names, or has withdrawn.
+        """Log a limit that an endpoint has named or withdrawn.
 
         Args:
             endpoint: Id of the endpoint.
-            named: Requests a second that it takes, `NO_LIMIT` if it names none.
-            before: The same as it was known before.
-            origin: Who told it: an answer, or the name of an entry.
+            named: The limit in requests per second, `NO_LIMIT` for none.
+            before: The limit known before, `NO_LIMIT` for none.
+            origin: Source of the limit: an answer, or the name of an entry.
         """
         self._line(
             "limit",
@@ -256,14 +275,14 @@
         waited: float,
         limit: float = NO_LIMIT,
     ) -> None:
-        """Tell of a send, with what decided where it went.
+        """Log a send, with the inputs of the choice of its endpoint.
 
         Args:
             job: The request.
             endpoint: Id of the endpoint that it was sent to.
-            age: Age of what is known of the endpoints, seconds.
-            waited: Seconds for which it waited for room.
-            limit: Requests a second that the endpoint had named, `NO_LIMIT` for none.
+            age: Age of the known directory, seconds.
+            waited: Seconds for which the request waited for capacity.
+            limit: Requests per second that the endpoint had named, `NO_LIMIT` for none.
         """
         optional_fields = {} if limit == NO_LIMIT else {"limit": limit}
         if optional_fields:
@@ -285,11 +304,11 @@
         )
 
     def not_moved(self, job: Job, cause: Refusal, now: float) -> None:
-        """Tell that a run which stands still is kept, as nothing can replace it.
+        """Log that a stalled run is kept because no other path can replace it.
 
         Args:
             job: The request.
-            cause: Why it cannot go on elsewhere at present.
+            cause: Why it cannot move to another path at present.
             now: Present time in seconds.
         """
         self._line(
@@ -306,11 +325,11 @@
         )
 
     def standby_dropped(self, job: Job, ran: float) -> None:
-        """Tell that a run begun beside another one was closed.
+        """Log that a standby run, started in parallel to another run, was closed.
 
         Args:
-            job: The request; its path is that of the run that was closed.
-            ran: Seconds for which it was open.
+            job: The request, with the path of the closed run.
+            ran: Seconds for which the run was open.
         """
         self._line(
             "standby_dropped",
@@ -329,14 +348,15 @@
         fault: str = "",
         filled: float | None = None,
     ) -> None:
-        """Tell of a send that brought no answer, or of a stream that broke off.
+        """Log a send that got no answer, or a stream that broke off.
 
         Args:
             job: The request.
-            endpoint: Where it was sent.
+            endpoint: Id of the endpoint that it was sent to.
             reason: What happened.
-            fault: Endpoint on its path that was named as at fault, or empty.
-            filled: Share of that one's memory that is believed to be taken.
+            fault: Endpoint on its path that was reported to be at fault, or empty.
+            filled: Estimated share of the memory in use at the endpoint at fault, None
+                if unknown.
         """
         self._line(
             "lost",
@@ -362,16 +382,16 @@
 
 
 def _path(job: Job) -> list[str]:
-    """Return the parts of a request's path as log lines show them."""
+    """Return the parts of a request's path in the form of log lines."""
     parts = job.path.parts if job.path else ()
     return [f"{p.address}={p.layers.start}-{p.layers.end}" for p in parts]
 
 
 def _limit(named: float) -> float | None:
-    """Return a limit as log lines show it, None for none."""
+    """Return a limit in the form of log lines, None for no limit."""
     return None if named == NO_LIMIT else named
 
 
 def _ms(seconds: float) -> float:
-    """Return a time in milliseconds as log lines show it."""
+    """Return a duration in milliseconds, rounded for log lines."""
     return round(seconds * 1000, 1)
--- a/packages/relay/src/lacewingcourse/relay/decoding.py
+++ b/packages/relay/src/lacewingcourse/relay/decoding.py
@@ -1,4 +1,4 @@
-"""Strict decoding of what other processes write."""
+"""Strict decoding of documents that other processes write."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 T = TypeVar("T")
 
-#: Characters of a reason that are kept; a document may hold anything at any length.
+#: Maximum number of characters of a reason, as a document may hold text of any length.
 MAX_REASON_LENGTH = 200
-#: Key of the metadata of an attribute that stands under another name in documents.
+#: Metadata key of an attribute that has another name in documents.
 DOCUMENT_NAME = "document_name"
-#: What the library says of where something is wrong: steps with indexes.
+#: Path of a value in the library's error messages: names and indexes.
 JSON_PATH = re.compile(r"\$[\w.\[\]]*")
-#: What the content of a document can make the library raise.
+#: Errors that the library may raise because of a document's content.
 CONTENT_ERRORS = (
     ValueError,
     TypeError,
@@ -36,17 +36,17 @@
 
 @attrs.frozen
 class Undecodable:
-    """A sentinel value: bytes hold no document of the wanted kind.
+    """A sentinel value: bytes hold no document of the expected class.
 
     Attributes:
-        reason: What is wrong with them, with the place.
+        reason: What is wrong with the document, and at which path.
     """
 
     reason: str
 
 
 def shortened(text: str) -> str:
-    """Return text at a length that may be logged."""
+    """Return text cut to the maximum length of a reason."""
     return (
         text
         if len(text) <= MAX_REASON_LENGTH
@@ -55,21 +55,22 @@
 
 
 class StrictDecoder:
-    """Turns documents into objects whose values have exactly the declared types.
+    """Decodes documents into objects whose values have exactly the declared types.
 
-    The library's own converter turns strings into numbers and numbers into truth
-    values, so a document of another kind would pass for a wanted one.
+    The library's default converter turns strings into numbers and numbers into
+    booleans, so it would accept documents of another class.
 
     Attributes:
         converter: The library's converter with strict hooks.
-        spelled: Names in documents by names of attributes that are spelled otherwise.
+        document_names: Names in documents by attribute name, for error messages.
     """
 
     def __init__(self, document_name: Callable[[str], str] | None = None) -> None:
         """Make a decoder.
 
         Args:
-            spell: Returns the name in documents of an attribute; None for the same.
+            document_name: Returns the name in documents for an attribute's name, None
+                if documents use the attribute's name.
         """
         self.converter = make_converter()
         self.document_names: dict[str, str] = {}
@@ -81,9 +82,14 @@
             self.converter.register_structure_hook_factory(attrs.has, self._hook_for)
 
     def decode(self, body: bytes, kind: type[T]) -> T | Undecodable:
-        """Return the document of a kind that bytes hold, or what is wrong with them.
+        """Decode a JSON document; never raises, whatever the bytes are.
 
-        Whatever the bytes are, nothing is raised.
+        Args:
+            body: The encoded document.
+            kind: Class of the object.
+
+        Returns:
+            The object, or what is wrong with the document.
         """
         try:
             document = orjson.loads(body)
@@ -92,7 +98,7 @@
         return self.structure(document, kind)
 
     def structure(self, document: Any, kind: type[T]) -> T | Undecodable:
-        """Return the object of a kind that a document holds, or what is wrong."""
+        """Return the object of a class that a document holds, or what is wrong."""
         try:
             return self.converter.structure(document, kind)
         except (ClassValidationError, IterableValidationError) as error:
@@ -103,12 +109,12 @@
             return Undecodable(shortened(f"{type(error).__name__}: {error}"))
 
     def _document_path(self, found: re.Match) -> str:
-        """Return a place in a document as the document spells it."""
+        """Return a path with the names that documents use."""
         steps = found[0].split(".")
         return ".".join(self.document_names.get(step, step) for step in steps)
 
     def _hook_for(self, kind: type) -> Callable[[Any, Any], Any]:
-        """Return what makes objects of a class from documents."""
+        """Return the structure hook for an attrs class."""
         overrides = {}
         for attribute in attrs.fields(kind):
             explicit_name = attribute.metadata.get(DOCUMENT_NAME)
@@ -119,14 +125,14 @@
 
 
 def _reason(error: BaseException, kind: type | None) -> str:
-    """Return what is wrong with a value; validators say it in their first argument."""
+    """Return what is wrong with a value; a `ValueError` holds it as first argument."""
     if type(error) is ValueError and error.args:
         return shortened(str(error.args[0]))
     return format_exception(error, kind)
 
 
 def _exact_type_hook(kind: type) -> Callable[[Any, Any], Any]:
-    """Return a hook that takes values of one type, truth values apart from numbers."""
+    """Return a hook that accepts values of one type; booleans do not count as `int`."""
 
     def check_type(value: Any, _: Any) -> Any:
         if type(value) is not kind:
--- a/packages/relay/src/lacewingcourse/relay/loop_watch.py
+++ b/packages/relay/src/lacewingcourse/relay/loop_watch.py
@@ -1,4 +1,4 @@
-"""How late the loop gets to its work, and what held it up."""
+"""Measures the lag of the event loop, and which work blocked it."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-#: Seconds between two looks.
+#: Seconds between two ticks of the timer.
 PERIOD = 0.05
-#: Seconds of lateness from which a line tells what ran. Callers accept pauses of some
-#: hundred milliseconds, and a stream passes several entries and engines.
+#: Lateness in seconds above which the longest work is reported. Callers accept pauses
+#: of some hundred milliseconds, and a stream passes several entries and engines.
 REPORTED_LATENESS = 0.05
-#: Section that is told if no named one ran for long.
+#: Name of the section that is reported if no named one explains the delay.
 UNNAMED_WORK = "other work"
 
 
 @attrs.frozen
 class Section:
-    """A piece of work that was not interrupted.
+    """A piece of work that ran without yielding to the event loop.
 
     Attributes:
-        name: What it did.
-        seconds: How long it took.
+        name: Name of the work.
+        seconds: Its duration.
     """
 
     name: str
@@ -36,16 +36,16 @@
 
 @attrs.define
 class LoopWatch:
-    """Measures how late the loop wakes its own timer.
+    """Measures how late the event loop runs a periodic timer.
 
     Attributes:
         clock: Returns the present time in seconds.
-        observe: Called with the lateness of each look, seconds.
-        tell: Called with the lateness and the longest piece of work if it was late.
-        longest: The longest named piece of work since the last look.
-        last_look: When it last looked, seconds.
-        previous_look: When it looked before that. The loop has handled since then
-            whatever had come by that time, however long it was held up.
+        observe: Called with the lateness of each tick, seconds.
+        on_late: Called with the lateness and the longest section if a tick was late.
+        longest: The longest named section since the last tick.
+        last_tick: Time of the last tick, seconds.
+        previous_tick: Time of the tick before that, seconds. The loop has since handled
+            every event that had arrived by then, however long it was blocked.
     """
 
     clock: Callable[[], float] = time.monotonic
@@ -62,7 +62,7 @@
 
     @contextmanager
     def section(self, name: str) -> Iterator[None]:
-        """Name the work done within."""
+        """Measure the work in a `with` block as a named section."""
         since = self.clock()
         try:
             yield
@@ -72,7 +72,7 @@
                 self.longest = Section(name, seconds)
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Measure the lateness of periodic ticks until cancelled."""
         while True:
             expected = self.clock() + PERIOD
             await asyncio.sleep(PERIOD)
@@ -81,7 +81,11 @@
             self.record(now - expected)
 
     def record(self, late: float) -> None:
-        """Take how late the timer was, seconds."""
+        """Record the lateness of a tick, and report the longest section if it was late.
+
+        Args:
+            late: Seconds by which the timer was late.
+        """
         self.observe(max(0.0, late))
         if late > REPORTED_LATENESS:
             named = self.longest.seconds > late / 2
--- a/packages/relay/tests/relay/test_decisions.py
+++ b/packages/relay/tests/relay/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of the log of decisions."""
+"""Tests of the decision log."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def logged_events() -> set[str]:
-    """Return the events that the sources log."""
+    """Return the events that the source files log."""
     found = {"left_out", "defect"}
     for path in SOURCES.glob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -33,7 +33,7 @@
 
 
 def documented_events() -> set[str]:
-    """Return the events in the table of the operators' page."""
+    """Return the events in the table of the operations manual."""
     text = PAGE.read_text()
     table = text[text.index("| event | tells") : text.index("At most 60")]
     rows = [row for row in table.splitlines()[2:] if row.startswith("|")]
@@ -60,12 +60,12 @@
 
 
 def fail_with(key):
-    """Fail in a function that holds a caller's key."""
+    """Raise an error in a function with a caller's key in a variable."""
     return 1 / (len(key) - len(key))
 
 
 def test_a_defect_is_logged_in_one_short_line_without_values():
-    """Values of variables showed callers' keys, and lines of 8,000 bytes were cut."""
+    """Guards against callers' keys in tracebacks, and cut lines of 8,000 bytes."""
     code = (
         "from packages.relay.tests.relay import test_decisions as t\n"
         "from lacewingcourse.relay import decisions\n"
--- a/packages/relay/tests/relay/test_decoding.py
+++ b/packages/relay/tests/relay/test_decoding.py
@@ -20,7 +20,7 @@
     encode,
 )
 
-#: Any document that JSON can hold.
+#: Arbitrary JSON documents.
 DOCUMENTS = st.recursive(
     st.none()
     | st.booleans()
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Sample:
-    """A document with a value of each kind."""
+    """A document with a value of each basic type."""
 
     count: int
     share: float
@@ -47,7 +47,7 @@
 
 
 def gossip_message(**changes) -> GossipMessage:
-    """Return a message of an entry."""
+    """Return a gossip message with changed fields."""
     return attrs.evolve(
         GossipMessage(
             name="entry-1",
--- a/packages/relay/tests/relay/test_loop_watch.py
+++ b/packages/relay/tests/relay/test_loop_watch.py
@@ -1,4 +1,4 @@
-"""Tests of how the loop's lateness is told."""
+"""Tests of how the lag of the event loop is reported."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def watched():
-    """A watch with a clock that the test sets, and what it told."""
+    """A watch, the clock that the test sets, the reports and the observed lateness."""
     now, reported, lateness = [0.0], [], []
     watch = LoopWatch(
         lambda: now[0],
@@ -33,7 +33,7 @@
 
 
 def work(watched, name, seconds):
-    """Do a named piece of work."""
+    """Run a named section for some seconds."""
     watch, now, _, _ = watched
     with watch.section(name):
         now[0] += seconds
