--- a/packages/relay/src/lacewingcourse/relay/decisions.py
+++ b/packages/relay/src/lacewingcourse/relay/decisions.py
@@ -101,8 +101,8 @@
     writer = LineWriter()
     logger.remove()
     logger.configure(extra={"process": process})
-    # Values of variables in tracebacks would reveal callers' keys, and make lines longer
-    # than a pipe can take in one write.
+    # Values of variables in tracebacks would reveal callers' keys, and make lines too
+    # long for a pipe.
     logger.add(
         writer.write, level=level, format="{message}", diagnose=False, backtrace=False
     )
@@ -191,8 +191,8 @@
             request: The request.
             refusal: Why it was refused.
             job: State of its processing, None if none was begun.
-            waits_for: Which event `retry_after` waits for, empty if it is not based on
-                the state of the entries.
+            waits_for: What the caller has to wait for before it retries, empty unless
+                the entry is ending and names a delay.
         """
         self.metrics.refused(refusal, job)
         optional_fields = {"waits_for": waits_for} if waits_for else {}
