--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -284,7 +284,7 @@
             self.clock,
             self.boot_clock,
         )
-        shown = {("GET", METRICS_PATH): page.answer}
+        shown = {("GET", METRICS_PATH): page.respond}
         handlers = self.peers.handlers() | self.loans.handlers()
         handlers |= self.permits.handlers()
         self.peer_server = HTTPServer(SmallServer(handlers | shown))
@@ -368,7 +368,7 @@
     def _tell_peers(self) -> None:
         self.peers.exchange_now()
 
-    def _on_ready(self, question: ServerRequest) -> Reply:
+    def _on_ready(self, request: ServerRequest) -> Reply:
         return Reply(200 if self.readiness.is_ready() else 503)
 
     def _on_configuration(self) -> None:
--- a/packages/relay/src/lacewingcourse/relay/metrics.py
+++ b/packages/relay/src/lacewingcourse/relay/metrics.py
@@ -43,128 +43,130 @@
         # They double the page, and tell nothing that a start does not.
         disable_created_metrics()
         self.registry = CollectorRegistry()
-        known = {"registry": self.registry}
+        common_options = {"registry": self.registry}
         self.configuration_age = Gauge(
             "lacewingcourse_relay_configuration_age_seconds",
             "Since the configuration was last known to be the newest",
-            **known,
+            **common_options,
         )
         self.directory_age = Gauge(
             "lacewingcourse_relay_directory_age_seconds",
             "Since the directory was last known whole",
-            **known,
+            **common_options,
         )
         self.version = Gauge(
             "lacewingcourse_relay_configuration_version",
             "Version of the configuration in force",
-            **known,
+            **common_options,
         )
         self.configuration_reads = Counter(
             "lacewingcourse_relay_configuration_reads",
             "Reads of the configuration by what they brought: version, nothing, behind"
             " (more was there), unreadable, unavailable",
             ["result"],
-            **known,
+            **common_options,
         )
         self.requests = Counter(
             "lacewingcourse_relay_requests",
             "Requests by end: served, broken_off, or the kind of the refusal",
             ["end"],
-            **known,
+            **common_options,
         )
-        self.breaks = Counter(
+        self.broken_answers = Counter(
             "lacewingcourse_relay_broken_off",
             "Answers that ended before they were whole, by why they did not go on",
             ["kind"],
-            **known,
+            **common_options,
         )
         self.last_requests = Counter(
             "lacewingcourse_relay_last_requests",
             "Requests that came while the entry was ending: taken or refused",
             ["outcome"],
-            **known,
+            **common_options,
         )
         self.sends = Counter(
-            "lacewingcourse_relay_sends", "Sends of requests to endpoints", **known
+            "lacewingcourse_relay_sends",
+            "Sends of requests to endpoints",
+            **common_options,
         )
         self.retries = Counter(
             "lacewingcourse_relay_retries",
             "Sends beyond the first of a request",
-            **known,
+            **common_options,
         )
         self.first_event = Histogram(
             "lacewingcourse_relay_first_event_seconds",
             "From a request's head to the first event passed on",
             buckets=LATENCY_BUCKETS,
-            **known,
+            **common_options,
         )
-        self.pause = Histogram(
+        self.longest_pause = Histogram(
             "lacewingcourse_relay_longest_pause_seconds",
             "Longest pause between two events of a stream",
             buckets=PAUSE_BUCKETS,
-            **known,
+            **common_options,
         )
-        self.whole = Histogram(
+        self.answer_time = Histogram(
             "lacewingcourse_relay_answer_seconds",
             "From a request's head to the end of its answer",
             buckets=LATENCY_BUCKETS,
-            **known,
+            **common_options,
         )
         self.waited = Histogram(
             "lacewingcourse_relay_waited_seconds",
             "Time for which streams waited for room on a path",
             buckets=LATENCY_BUCKETS,
-            **known,
+            **common_options,
         )
         self.store_calls = Histogram(
             "lacewingcourse_relay_store_call_seconds",
             "Calls of the platform's store by result",
             ["result"],
             buckets=STORE_BUCKETS,
-            **known,
+            **common_options,
         )
         self.endpoints = Gauge(
             "lacewingcourse_relay_endpoints",
             "Endpoints by state: present, leaving, suspected",
             ["state"],
-            **known,
+            **common_options,
         )
         self.unreadable_entries = Counter(
             "lacewingcourse_relay_unreadable_entries",
             "Entries of the directory that name no endpoint to use, at each reading",
-            **known,
+            **common_options,
         )
         self.unreadable_messages = Counter(
             "lacewingcourse_relay_unreadable_messages",
             "Messages of other entries that cannot be read",
-            **known,
+            **common_options,
         )
         self.limited_endpoints = Gauge(
             "lacewingcourse_relay_limited_endpoints",
             "Endpoints that name a limit of requests a second",
-            **known,
+            **common_options,
         )
         self.limited_sends = Counter(
             "lacewingcourse_relay_limited_sends",
             "Sends to endpoints that had named a limit: first sends or retries",
             ["attempt"],
-            **known,
+            **common_options,
         )
         self.unreadable_limits = Counter(
             "lacewingcourse_relay_unreadable_limits",
             "Limits named by endpoints that cannot be read",
-            **known,
+            **common_options,
         )
         self.loop_lag = Histogram(
             "lacewingcourse_relay_loop_lag_seconds",
             "How late the loop came to a timer that rings twenty times a second",
             buckets=LAG_BUCKETS,
-            **known,
+            **common_options,
         )
         self.lines_left_out = Counter(
             "lacewingcourse_relay_log_lines_left_out",
             "Log lines that the budget or a stalled reader left out",
-            **known,
+            **common_options,
         )
 
     def served(self, job: Job, now: float) -> None:
@@ -172,16 +174,16 @@
         received = job.request.received_at
         self.requests.labels("served").inc()
         self._count_sends(job)
-        self.whole.observe(now - received)
+        self.answer_time.observe(now - received)
         if job.first_at is not None:
             self.first_event.observe(job.first_at - received)
-            self.pause.observe(job.longest_gap)
+            self.longest_pause.observe(job.longest_gap)
             self.waited.observe(job.waited)
 
     def broken_off(self, cause: Refusal, job: Job) -> None:
         """Count an answer that was begun and not ended whole."""
         self.requests.labels("broken_off").inc()
-        self.breaks.labels(cause.kind.value).inc()
+        self.broken_answers.labels(cause.kind.value).inc()
         self._count_sends(job)
 
     def refused(self, refusal: Refusal, job: Job | None) -> None:
@@ -203,7 +205,7 @@
         """Count a call of the store."""
         self.store_calls.labels(result).observe(seconds)
 
-    def answer(self, question: ServerRequest) -> Reply:
+    def respond(self, request: ServerRequest) -> Reply:
         """Return all metrics as text."""
         return Reply(200, generate_latest(self.registry), CONTENT_TYPE_LATEST)
 
--- a/packages/relay/src/lacewingcourse/relay/metrics_page.py
+++ b/packages/relay/src/lacewingcourse/relay/metrics_page.py
@@ -35,7 +35,7 @@
     clock: Callable[[], float]
     boot_clock: Callable[[], float]
 
-    def answer(self, question: ServerRequest) -> Reply:
+    def respond(self, request: ServerRequest) -> Reply:
         """Return the metrics."""
         boot_now = self.boot_clock()
         self.metrics.configuration_age.set(self.configuration.age(boot_now))
@@ -45,7 +45,7 @@
         self._count_endpoints(self.clock())
         limited = self.routing_state.limits.limited()
         self.metrics.limited_endpoints.set(len(limited))
-        return self.metrics.answer(question)
+        return self.metrics.respond(request)
 
     def _count_endpoints(self, now: float) -> None:
         endpoints = self.routing_state.fleet.endpoints.values()
