--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -69,7 +69,7 @@
         self,
         settings: RelaySettings,
         platform: Platform,
-        changed: Callable[[], RelaySettings | str | None],
+        read_changed: Callable[[], RelaySettings | str | None],
         front: socket.socket | None = None,
     ) -> None:
         """Make the entry.
@@ -107,7 +107,7 @@
             has_predecessor=not settings.first_start,
         )
         self.ended = asyncio.Event()
-        self.reloading = SettingsWatch(changed, self._apply, self.log)
+        self.reloader = SettingsWatch(read_changed, self._apply, self.log)
         self._tasks: list[asyncio.Task] = []
         self._compose()
 
@@ -146,7 +146,7 @@
             self.clock,
             self.log,
             self._on_suspect,
-            self._on_start,
+            self._on_endpoint_start,
         )
         streams = StreamForwarder(
             self.routing_state,
@@ -157,8 +157,8 @@
             self.admission,
             self.stalls,
             self.log,
-            self._tell_peers,
-            self._on_denied,
+            self._notify_peers,
+            self._on_retry_denied,
         )
         budget = PropagationBudget(self.settings.bounds.configuration)
         self.ingress = Ingress(
@@ -193,7 +193,7 @@
             self.log,
             self.clock,
             self._reader_rank,
-            self._tell_peers,
+            self._notify_peers,
             self.stalls.restarted,
             self.metrics.unreadable_entries.inc,
             PropagationBudget(self.settings.bounds.departure),
@@ -266,15 +266,15 @@
             lambda: self.readiness.leaving,
         )
         send_limits.on_want = self.permits.schedule_check
-        send_limits.on_fall = self._tell_peers
-        self.house = Housekeeping(
+        send_limits.on_fall = self._notify_peers
+        self.housekeeper = Housekeeping(
             self.routing_state,
             self.pool,
             self.book,
             self.budget,
             issuer,
             self.clock,
-            self._on_thaw,
+            self._on_resume,
         )
         page = MetricsPage(
             self.metrics,
@@ -284,11 +284,11 @@
             self.clock,
             self.boot_clock,
         )
-        shown = {("GET", METRICS_PATH): page.respond}
+        metrics_handlers = {("GET", METRICS_PATH): page.respond}
         handlers = self.peers.handlers() | self.loans.handlers()
         handlers |= self.permits.handlers()
-        self.peer_server = HTTPServer(SmallServer(handlers | shown))
-        self.metrics_server = HTTPServer(SmallServer(shown))
+        self.peer_server = HTTPServer(SmallServer(handlers | metrics_handlers))
+        self.metrics_server = HTTPServer(SmallServer(metrics_handlers))
 
     async def run(self) -> None:
         """Serve until the request to end has been carried out."""
@@ -306,14 +306,14 @@
         if self.settings.metrics:
             self._listen(self.metrics_server, self.settings.metrics)
         self.loop.add_signal_handler(signal.SIGTERM, self._on_term)
-        self.loop.add_signal_handler(signal.SIGHUP, self.reloading.on_signal)
+        self.loop.add_signal_handler(signal.SIGHUP, self.reloader.on_signal)
         self._start(self.configuration.run())
         self._start(self.directory.run())
         self._start(self.placement.run())
-        self._start(self.house.run())
+        self._start(self.housekeeper.run())
         self._start(self.stalls.run())
         self._start(self.watch.run())
-        self._start(self.reloading.run())
+        self._start(self.reloader.run())
         self.log.log_event("started", zone=self.settings.zone)
         await self.ended.wait()
         self.log.log_event("ended", open=len(self.ingress.callers.open))
@@ -352,20 +352,20 @@
         for endpoint in endpoints:
             self.routing_state.suspects.suspect(endpoint, reason, now, silent=True)
         self.log.log_event("suspected", endpoints=list(endpoints), reason=reason)
-        self._tell_peers()
+        self._notify_peers()
 
-    def _on_start(self, name: str, born: int) -> bool:
+    def _on_endpoint_start(self, name: str, born: int) -> bool:
         """Take from an endpoint when it started; tell whether that is new."""
         if not self.routing_state.fleet.note_start(name, born):
             return False
         self.log.log_event("endpoint_restarted", endpoint=name, born=born)
         return True
 
-    def _on_denied(self, service: str, request: str) -> None:
+    def _on_retry_denied(self, service: str, request: str) -> None:
         """Ask other entries for a retry."""
         self.loans.request_loan(service, request)
 
-    def _tell_peers(self) -> None:
+    def _notify_peers(self) -> None:
         self.peers.exchange_now()
 
     def _on_ready(self, request: ServerRequest) -> Reply:
@@ -373,7 +373,7 @@
 
     def _on_configuration(self) -> None:
         """Apply the limits of a version that has come into force, and tell it."""
-        self._tell_peers()
+        self._notify_peers()
         self.ingress.put_in_force(self.routing_state.table.limits)
 
     def _on_lag(self, late: float, section: Section) -> None:
@@ -385,15 +385,15 @@
             took_ms=round(section.seconds * 1000),
         )
 
-    def _on_thaw(self, slept: float) -> None:
+    def _on_resume(self, suspended_for: float) -> None:
         """Trust nothing that was learned before this process was frozen."""
-        self.log.log_event("thawed", slept_ms=round(slept * 1000))
+        self.log.log_event("thawed", slept_ms=round(suspended_for * 1000))
         self.configuration.freshness.expire()
         self.directory.freshness.expire()
         self.holder.lease = None
         self.budget.drop_loans()
         self.routing_state.send_limits.sharing.clear()
-        self.readiness.suspended(slept)
+        self.readiness.suspended(suspended_for)
 
     def _on_term(self) -> None:
         if self.readiness.leaving:
@@ -401,7 +401,7 @@
         # The grace time runs while a loop that is held up has not noticed the signal.
         self.ingress.leave(self.watch.previous_tick)
         self._start(self._leave())
-        self._tell_peers()
+        self._notify_peers()
         self.ingress.tell_leaving()
 
     def _apply(self, settings: RelaySettings) -> None:
@@ -412,9 +412,9 @@
         self.budget.slack = settings.bounds.retry_slack
         self.readiness.grace = settings.bounds.grace
         self.peers.seeds = settings.seeds
-        self._put_budgets(settings.bounds)
+        self._apply_budgets(settings.bounds)
 
-    def _put_budgets(self, bounds: Bounds) -> None:
+    def _apply_budgets(self, bounds: Bounds) -> None:
         """Put in force how soon changes must be known."""
         self.configuration.budget = PropagationBudget(bounds.configuration)
         self.directory.budget = PropagationBudget(bounds.departure)
--- a/packages/relay/src/lacewingcourse/relay/settings_watch.py
+++ b/packages/relay/src/lacewingcourse/relay/settings_watch.py
@@ -27,7 +27,7 @@
         log: Log of decisions.
     """
 
-    changed: Callable[[], RelaySettings | str | None]
+    read_changed: Callable[[], RelaySettings | str | None]
     apply: Callable[[RelaySettings], None]
     log: DecisionLog
 
@@ -35,16 +35,16 @@
         """Look for ever."""
         while True:
             await asyncio.sleep(PERIOD)
-            self.look()
+            self.reload()
 
     def on_signal(self) -> None:
         """Look at once, as the platform asks."""
         self.log.log_event("reload_asked")
-        self.look()
+        self.reload()
 
-    def look(self) -> None:
+    def reload(self) -> None:
         """Apply the settings if their file has changed."""
-        found = self.changed()
+        found = self.read_changed()
         if found is None:
             return
         if isinstance(found, str):
--- a/packages/relay/tests/relay/test_configuration_follower.py
+++ b/packages/relay/tests/relay/test_configuration_follower.py
@@ -126,7 +126,7 @@
         ingress=SimpleNamespace(gateway=SimpleNamespace(guard=guard)),
     )
     follower.freshness.confirm(100.0)
-    Application._put_budgets(entry, SimpleNamespace(configuration=6.0, departure=4.0))
+    Application._apply_budgets(entry, SimpleNamespace(configuration=6.0, departure=4.0))
     assert not follower.freshness.due(1, 101.0)
     assert follower.freshness.due(1, 100.0 + 6.0 / 2)
     assert directory.freshness.last == PropagationBudget(4.0).last
--- a/packages/relay/tests/relay/test_request_to_end.py
+++ b/packages/relay/tests/relay/test_request_to_end.py
@@ -47,7 +47,7 @@
         )
         entry._leave = lambda: "departure"
         entry._start = entry.started.append
-        entry._tell_peers = lambda: entry.told.append(entry.readiness.leaving)
+        entry._notify_peers = lambda: entry.told.append(entry.readiness.leaving)
         return entry
 
     return make
@@ -86,7 +86,7 @@
     if leaves:
         Application._on_term(entry)
     last = entry.readiness.last
-    Application._on_thaw(entry, 2.0)
+    Application._on_resume(entry, 2.0)
     assert entry.readiness.last == pytest.approx(last - counted)
 
 
