--- a/packages/relay/src/lacewingcourse/relay/__init__.py
+++ b/packages/relay/src/lacewingcourse/relay/__init__.py
@@ -1,1 +1,1 @@
-"""An entry that forwards requests over what its ports tell of a platform."""
+"""An entry that forwards requests, and reaches its platform through ports."""
--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -1,4 +1,4 @@
-"""The entry as one process: its servers, its loops and its end."""
+"""The process of an entry: its servers, background tasks and shutdown."""
 
 from __future__ import annotations
 
@@ -59,10 +59,10 @@
     """One entry.
 
     Attributes:
-        settings: Its settings; their addresses hold for its life.
-        routing_state: What it believes.
+        settings: Its settings; their addresses do not change while the process runs.
+        routing_state: State that routing decisions depend on.
         readiness: Whether it is ready.
-        log: Log of decisions.
+        log: Decision log.
     """
 
     def __init__(
@@ -77,9 +77,9 @@
         Args:
             settings: Its settings.
             platform: The ports of its platform.
-            changed: Returns the settings if they have changed, or why they cannot be
-                used.
-            front: Socket that listens for callers already, None if none does.
+            read_changed: Returns the settings if they have changed, None if they have
+                not, or why they cannot be used.
+            front: Socket that already listens for callers, None to open one.
         """
         self.settings = settings
         self._front = front
@@ -112,7 +112,7 @@
         self._compose()
 
     def _compose(self) -> None:
-        """Make the parts and give each what it needs."""
+        """Create the components with their dependencies."""
         rng = random.Random(self.settings.name)
         self.watch = LoopWatch(self.clock, self.metrics.loop_lag.observe, self._on_lag)
         self.routing_state.watch = self.watch
@@ -252,7 +252,7 @@
             self.metrics.unreadable_messages.inc,
             RETRY_SHARINGS.get(self.settings.retry_sharing),
         )
-        # A later process of the same name counts anew.
+        # A later process of the same name knows nothing of the permits of this one.
         issuer = PermitIssuer(f"{self.settings.name} {uuid4()}")
         self.permits = PermitExchange(
             send_limits,
@@ -291,7 +291,7 @@
         self.metrics_server = HTTPServer(SmallServer(metrics_handlers))
 
     async def run(self) -> None:
-        """Serve until the request to end has been carried out."""
+        """Serve until the shutdown is complete."""
         if self._front is None:
             self._listen(self.ingress.front, self.settings.front)
         else:
@@ -328,7 +328,7 @@
         self._tasks.append(task)
 
     def _on_task_done(self, task: asyncio.Task) -> None:
-        """Tell of a loop that ended, which none should."""
+        """Log the error of a background task, none of which should end."""
         if not task.cancelled() and task.exception() is not None:
             self.log.failed(task.exception())
 
@@ -347,7 +347,7 @@
         return self.book.reader_rank(self.clock(), self.peers.gossip.platform_reachable)
 
     def _on_suspect(self, endpoints: tuple[str, ...], reason: str) -> None:
-        """Leave out endpoints that were found to be dead, and tell it."""
+        """Exclude endpoints that are considered dead, and notify other entries."""
         now = self.clock()
         for endpoint in endpoints:
             self.routing_state.suspects.suspect(endpoint, reason, now, silent=True)
@@ -355,14 +355,19 @@
         self._notify_peers()
 
     def _on_endpoint_start(self, name: str, born: int) -> bool:
-        """Take from an endpoint when it started; tell whether that is new."""
+        """Record the start of an endpoint; return whether it replaces the known one.
+
+        Args:
+            name: Name of the endpoint.
+            born: Unix time of its start in milliseconds.
+        """
         if not self.routing_state.fleet.note_start(name, born):
             return False
         self.log.log_event("endpoint_restarted", endpoint=name, born=born)
         return True
 
     def _on_retry_denied(self, service: str, request: str) -> None:
-        """Ask other entries for a retry."""
+        """Request the loan of a retry from other entries."""
         self.loans.request_loan(service, request)
 
     def _notify_peers(self) -> None:
@@ -372,12 +377,12 @@
         return Reply(200 if self.readiness.is_ready() else 503)
 
     def _on_configuration(self) -> None:
-        """Apply the limits of a version that has come into force, and tell it."""
+        """Notify other entries of a version in force, and apply its limits."""
         self._notify_peers()
         self.ingress.put_in_force(self.routing_state.table.limits)
 
     def _on_lag(self, late: float, section: Section) -> None:
-        """Tell that the loop stood still, and what ran meanwhile."""
+        """Log that the event loop was blocked, and by which work."""
         self.log.log_event(
             "loop_late",
             late_ms=round(late * 1000),
@@ -386,7 +391,11 @@
         )
 
     def _on_resume(self, suspended_for: float) -> None:
-        """Trust nothing that was learned before this process was frozen."""
+        """Drop all state that may have become invalid while the machine was suspended.
+
+        Args:
+            suspended_for: Seconds for which it was suspended.
+        """
         self.log.log_event("thawed", slept_ms=round(suspended_for * 1000))
         self.configuration.freshness.expire()
         self.directory.freshness.expire()
@@ -398,14 +407,14 @@
     def _on_term(self) -> None:
         if self.readiness.leaving:
             return
-        # The grace time runs while a loop that is held up has not noticed the signal.
+        # A blocked loop handles the signal late; the grace time counts from before it.
         self.ingress.leave(self.watch.previous_tick)
         self._start(self._leave())
         self._notify_peers()
         self.ingress.tell_leaving()
 
     def _apply(self, settings: RelaySettings) -> None:
-        """Put in force what may change in the life of a process."""
+        """Apply the settings that may change while the process runs."""
         self.settings = settings
         self.budget.ratio = settings.bounds.retry_ratio
         self.budget.window = settings.bounds.retry_window
@@ -415,7 +424,7 @@
         self._apply_budgets(settings.bounds)
 
     def _apply_budgets(self, bounds: Bounds) -> None:
-        """Put in force how soon changes must be known."""
+        """Apply the times within which changes must have been propagated."""
         self.configuration.budget = PropagationBudget(bounds.configuration)
         self.directory.budget = PropagationBudget(bounds.departure)
         for follower in (self.configuration, self.directory):
@@ -423,7 +432,7 @@
         self.ingress.gateway.guard.limit = self.configuration.budget.stale
 
     async def _leave(self) -> None:
-        """End when the callers' requests have their ends, or cannot get them."""
+        """Carry out the departure, and end the process even if it fails."""
         try:
             await self.ingress.departure.carry_out()
         finally:
--- a/packages/relay/src/lacewingcourse/relay/metrics.py
+++ b/packages/relay/src/lacewingcourse/relay/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, histograms and ages of one entry, for Prometheus."""
+"""Prometheus metrics of one entry."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     from lacewingcourse.core.errors import Refusal
     from lacewingcourse.relay.job import Job
 
-#: Path of the metrics.
+#: HTTP path of the metrics.
 METRICS_PATH = "/metrics"
-#: Bounds of the buckets of latencies in seconds, around the objectives of calls and of
+#: Upper bounds of the latency buckets in seconds, around the objectives of calls and of
 #: first events.
 LATENCY_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0)
-#: Bounds of the buckets of pauses in seconds, around what routes allow.
+#: Upper bounds of the pause buckets in seconds, around the pauses that routes allow.
 PAUSE_BUCKETS = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0)
-#: Bounds of the buckets of calls to the store in seconds.
+#: Upper bounds of the store call buckets in seconds.
 STORE_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0)
-#: Bounds of the buckets of the loop's lateness in seconds.
+#: Upper bounds of the event loop lag buckets in seconds.
 LAG_BUCKETS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0)
 
 
@@ -36,11 +36,11 @@
     """The metrics of one entry.
 
     Attributes:
-        registry: Where they are collected.
+        registry: Registry of the metrics.
     """
 
     def __init__(self) -> None:
-        # They double the page, and tell nothing that a start does not.
+        # The creation times double the page, and equal the start of the process.
         disable_created_metrics()
         self.registry = CollectorRegistry()
         common_options = {"registry": self.registry}
@@ -181,13 +181,13 @@
             self.waited.observe(job.waited)
 
     def broken_off(self, cause: Refusal, job: Job) -> None:
-        """Count an answer that was begun and not ended whole."""
+        """Count an answer that was begun and ended incomplete."""
         self.requests.labels("broken_off").inc()
         self.broken_answers.labels(cause.kind.value).inc()
         self._count_sends(job)
 
     def refused(self, refusal: Refusal, job: Job | None) -> None:
-        """Count a request that ended without an endpoint's answer."""
+        """Count a request that ended without an answer of an endpoint."""
         self.requests.labels(refusal.kind.value).inc()
         if job is not None:
             self._count_sends(job)
@@ -202,11 +202,11 @@
         self.configuration_reads.labels(result).inc()
 
     def store_call(self, result: str, seconds: float) -> None:
-        """Count a call of the store."""
+        """Count a call of the store, and observe its duration in seconds."""
         self.store_calls.labels(result).observe(seconds)
 
     def respond(self, request: ServerRequest) -> Reply:
-        """Return all metrics as text."""
+        """Return all metrics in the text format of Prometheus."""
         return Reply(200, generate_latest(self.registry), CONTENT_TYPE_LATEST)
 
     def _count_sends(self, job: Job) -> None:
--- a/packages/relay/src/lacewingcourse/relay/metrics_page.py
+++ b/packages/relay/src/lacewingcourse/relay/metrics_page.py
@@ -1,4 +1,4 @@
-"""The metrics of an entry, with what has no event that could change it."""
+"""The metrics page, whose gauges are set when it is requested."""
 
 from __future__ import annotations
 
@@ -17,15 +17,16 @@
 
 @attrs.define
 class MetricsPage:
-    """Answers questions after the metrics, with ages and states as they are now.
+    """Responds to requests for the metrics, with the present ages and states.
 
     Attributes:
         metrics: The metrics.
-        routing_state: What this entry believes.
-        configuration: How old the configuration is.
-        directory: How old what is known of the endpoints is.
+        routing_state: State that holds the endpoints and the configuration.
+        configuration: Age of the known configuration.
+        directory: Age of the known directory.
         clock: Returns the present time in seconds.
-        boot_clock: Returns the present time in seconds that ages go by.
+        boot_clock: Returns the present time in seconds, including the time for which
+            the machine was suspended; the ages use it.
     """
 
     metrics: Metrics
@@ -36,7 +37,7 @@
     boot_clock: Callable[[], float]
 
     def respond(self, request: ServerRequest) -> Reply:
-        """Return the metrics."""
+        """Set the gauges, and return the metrics."""
         boot_now = self.boot_clock()
         self.metrics.configuration_age.set(self.configuration.age(boot_now))
         self.metrics.directory_age.set(self.directory.age(boot_now))
--- a/packages/relay/src/lacewingcourse/relay/settings.py
+++ b/packages/relay/src/lacewingcourse/relay/settings.py
@@ -1,4 +1,4 @@
-"""What a relaying entry is told at its start."""
+"""Settings of a relaying entry."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 
 @attrs.frozen
 class Bounds:
-    """Limits that the deployment promises to its callers.
+    """Limits that the deployment guarantees to its callers.
 
     Attributes:
-        grace: Seconds between the request to end and the end.
-        retry_ratio: Sends beyond the first that are allowed for each request.
-        retry_window: Seconds in which they are counted.
-        retry_slack: Sends beyond the first that are allowed besides.
+        grace: Seconds between the request to end and the end of the process.
+        retry_ratio: Retries allowed per request.
+        retry_window: Seconds in which requests and retries are counted.
+        retry_slack: Retries allowed in addition to the ratio.
         fencing_checked: Whether endpoints refuse orders with old fencing numbers.
-        configuration: Seconds after its acknowledgement from which a version holds.
-        departure: Seconds after an endpoint has told that it leaves from which it gets
-            no new work.
+        configuration: Seconds after its acknowledgement within which a version of the
+            configuration must be in force.
+        departure: Seconds after an endpoint's announcement that it leaves within which
+            entries must stop sending it new requests.
     """
 
     grace: float
@@ -37,23 +38,24 @@
         name: Name of the instance.
         zone: Its availability zone.
         front: IP address and port for callers.
-        ready: IP address and port for questions after readiness.
-        ready_path: Path of these questions.
+        ready: IP address and port of the readiness check.
+        ready_path: HTTP path of the readiness check.
         peers: IP address and port for other entries, empty for none.
         metrics: IP address and port of the metrics, empty for none.
-        seeds: Addresses of other entries that may be asked first.
-        bounds: Limits that are promised.
+        seeds: Addresses of other entries that may be contacted first.
+        bounds: Guaranteed limits.
         first_start: Whether all entries start for the first time, so that no process
-            ran before this one.
-        wait: Name of how long a request waits for room, see `admission_queue.WAITS`.
-        retry_sharing: Name of how entries share retries, see
+            of this name ran before.
+        wait: Name of the policy for how long a request waits for capacity, see
+            `admission_queue.WAITS`.
+        retry_sharing: Name of the policy by which entries share retries, see
             `retry_budget.RETRY_SHARINGS`.
-        store_retry: Name of when a source that gave no answer is asked again, see
-            `freshness.RETRY_DELAYS`.
-        limit_sharing: Name of how entries share what limited endpoints take, see
-            `limit_sharing.LIMIT_SHARINGS`.
-        last_requests: Name of what is taken while the entry ends, see
-            `shutdown.LAST_REQUESTS`.
+        store_retry: Name of the policy for when a failed read of a source is retried,
+            see `freshness.RETRY_DELAYS`.
+        limit_sharing: Name of the policy by which entries share the limits of
+            endpoints, see `limit_sharing.LIMIT_SHARINGS`.
+        last_requests: Name of the policy for which requests are accepted while the
+            entry ends, see `shutdown.LAST_REQUESTS`.
     """
 
     name: str
--- a/packages/relay/src/lacewingcourse/relay/settings_watch.py
+++ b/packages/relay/src/lacewingcourse/relay/settings_watch.py
@@ -1,4 +1,4 @@
-"""Takes over settings whose file has changed."""
+"""Reloads the settings when their file has changed."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.settings import RelaySettings
 
-#: Seconds between two looks at the settings file, which changes without a signal too.
+#: Seconds between two checks of the settings file, which may change without a signal.
 PERIOD = 2.0
 
 
 @attrs.define
 class SettingsWatch:
-    """Looks at the settings file.
+    """Checks the settings file, and applies its changes.
 
     Attributes:
-        changed: Returns the settings if they have changed, or why they cannot be used.
+        read_changed: Returns the settings if they have changed, None if they have not,
+            or why they cannot be used.
         apply: Puts settings in force.
-        log: Log of decisions.
+        log: Decision log.
     """
 
     read_changed: Callable[[], RelaySettings | str | None]
@@ -32,18 +33,18 @@
     log: DecisionLog
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Check the file periodically until cancelled."""
         while True:
             await asyncio.sleep(PERIOD)
             self.reload()
 
     def on_signal(self) -> None:
-        """Look at once, as the platform asks."""
+        """Check the file at once, on a signal of the platform."""
         self.log.log_event("reload_asked")
         self.reload()
 
     def reload(self) -> None:
-        """Apply the settings if their file has changed."""
+        """Apply the settings if their file has changed and they are valid."""
         found = self.read_changed()
         if found is None:
             return
