--- a/packages/relay/src/lacewingcourse/relay/endings.py
+++ b/packages/relay/src/lacewingcourse/relay/endings.py
@@ -89,7 +89,7 @@
         """Return the seconds that what is done for a request takes yet."""
         routing_state = self.gateway.routing_state
         shape = routing_state.shape(job.service)
-        max_answer = job.request.most_answer
+        max_answer = job.request.max_answer_tokens
         if shape is not None and max_answer:
             max_events = -(-max_answer // shape.event_tokens) - job.events
             has_begun = job.events > 0
--- a/packages/relay/src/lacewingcourse/relay/followers.py
+++ b/packages/relay/src/lacewingcourse/relay/followers.py
@@ -11,7 +11,7 @@
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.loop_watch import LoopWatch
 from lacewingcourse.relay.ports import (
-    DirectoryNews,
+    DirectoryUpdate,
     EndpointEntry,
     Unavailable,
     UnreadableEntry,
@@ -26,8 +26,8 @@
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.peer_messages import FleetSnapshot
     from lacewingcourse.relay.ports import (
-        ConfigurationNews,
         ConfigurationSource,
+        ConfigurationUpdate,
         EndpointDirectory,
     )
     from lacewingcourse.relay.routing_state import RoutingState
@@ -135,7 +135,7 @@
         )
         self.on_change()
 
-    def _log_read(self, update: ConfigurationNews, took: float, age: float) -> None:
+    def _log_read(self, update: ConfigurationUpdate, took: float, age: float) -> None:
         """Count an answered read, and log it if it returned records."""
         self.on_read(_read_result(update))
         if not update.records:
@@ -165,7 +165,7 @@
             self.log.log_event("configuration_source_regained")
 
 
-def _read_result(update: ConfigurationNews) -> str:
+def _read_result(update: ConfigurationUpdate) -> str:
     """Return the result of a read of the configuration for the metrics."""
     if update.behind:
         return "behind"
@@ -278,7 +278,9 @@
         self.routing_state.fleet.confirm(now - age)
         with self.watch.section("endpoints from a peer"):
             changed = self.apply(
-                DirectoryNews(True, entries, snapshot.position), now, log_changes=False
+                DirectoryUpdate(True, entries, snapshot.position),
+                now,
+                log_changes=False,
             )
         if changed:
             self.log.log_event(
@@ -293,7 +295,7 @@
         self.freshness.confirm(self.boot_clock() - age)
 
     def apply(
-        self, update: DirectoryNews, now: float, log_changes: bool = True
+        self, update: DirectoryUpdate, now: float, log_changes: bool = True
     ) -> list[Endpoint]:
         """Apply an update of the directory; return the endpoints that changed.
 
--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -233,8 +233,8 @@
         if isinstance(organisation, Refusal):
             return organisation
         patience = route.timeout
-        if request.patience is not None:
-            patience = min(patience, request.patience)
+        if request.timeout is not None:
+            patience = min(patience, request.timeout)
         until = request.received_at + patience
         service = route.service_for(request.id)
 
--- a/packages/relay/src/lacewingcourse/relay/limit_reader.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_reader.py
@@ -8,7 +8,7 @@
 
 from lacewingcourse.core.pipelines.request_limits import NO_LIMIT
 from lacewingcourse.relay.decoding import Undecodable
-from lacewingcourse.relay.ports import Standing
+from lacewingcourse.relay.ports import AnswerKind
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -46,7 +46,7 @@
             sent_at: Time of the send, seconds.
         """
         named = head.limit
-        if head.standing is Standing.FOREIGN:
+        if head.answer_kind is AnswerKind.FOREIGN:
             return
         if isinstance(named, Undecodable):
             self.on_unreadable()
@@ -54,7 +54,7 @@
                 "limit_unreadable", endpoint=sending.incarnation, reason=named.reason
             )
             return
-        if named == NO_LIMIT and head.standing is not Standing.ANSWERED:
+        if named == NO_LIMIT and head.answer_kind is not AnswerKind.ANSWERED:
             return
         endpoint, before = sending.incarnation, self.limits.named(sending.incarnation)
         if self.limits.observe(endpoint, named, sent_at, self.clock()):
--- a/packages/relay/src/lacewingcourse/relay/path_finder.py
+++ b/packages/relay/src/lacewingcourse/relay/path_finder.py
@@ -123,6 +123,6 @@
     """Return what a request is expected to need of a path."""
     request = job.request
     answer = request.answer_hint or shape.usual_answer
-    if request.most_answer:
-        answer = min(answer, request.most_answer)
+    if request.max_answer_tokens:
+        answer = min(answer, request.max_answer_tokens)
     return Demand(request.prompt or shape.usual_prompt, max(1, answer))
--- a/packages/relay/src/lacewingcourse/relay/ports.py
+++ b/packages/relay/src/lacewingcourse/relay/ports.py
@@ -46,9 +46,9 @@
     target: str
     host: str
     key: str | None
-    patience: float | None
+    timeout: float | None
     prompt: int
-    most_answer: int
+    max_answer_tokens: int
     answer_hint: int | None
     resume_after: str
     headers: HTTPHeaders
@@ -90,7 +90,7 @@
     )
 
 
-class Standing(Enum):
+class AnswerKind(Enum):
     """What the head of an answer says of the request."""
 
     ANSWERED = "answered"
@@ -118,7 +118,7 @@
 
     status: int
     headers: HTTPHeaders
-    standing: Standing
+    answer_kind: AnswerKind
     fault_address: str = ""
     misdirected: bool = False
     keep_alive: float | None = None
@@ -128,7 +128,7 @@
     @property
     def succeeded(self) -> bool:
         """Whether the endpoint answered with success."""
-        return self.standing is Standing.ANSWERED and 200 <= self.status < 300
+        return self.answer_kind is AnswerKind.ANSWERED and 200 <= self.status < 300
 
 
 class RequestCodec(Protocol):
@@ -166,7 +166,7 @@
     """
 
     reason: str
-    unknown: bool = False
+    maybe_applied: bool = False
 
 
 @attrs.frozen
@@ -196,7 +196,7 @@
 
 
 @attrs.frozen
-class DirectoryNews:
+class DirectoryUpdate:
     """What the directory tells.
 
     Attributes:
@@ -213,7 +213,7 @@
 
 
 @attrs.frozen
-class ConfigurationNews:
+class ConfigurationUpdate:
     """What one read of the configuration brought.
 
     Attributes:
@@ -235,10 +235,10 @@
 class ConfigurationSource(Protocol):
     """Where accepted configuration comes from."""
 
-    async def newest(self) -> ConfigurationNews | Unavailable:
+    async def newest(self) -> ConfigurationUpdate | Unavailable:
         """Return the newest version."""
 
-    async def next(self, wait: float) -> ConfigurationNews | Unavailable:
+    async def next(self, wait: float) -> ConfigurationUpdate | Unavailable:
         """Wait some seconds for a version after the last one returned."""
 
     def decode(self, document: bytes) -> RoutingTable | Undecodable:
@@ -248,7 +248,7 @@
 class EndpointDirectory(Protocol):
     """Where endpoints are listed."""
 
-    async def poll(self, position: int | None) -> DirectoryNews | Unavailable:
+    async def poll(self, position: int | None) -> DirectoryUpdate | Unavailable:
         """Return what changed after a position, or a whole listing for None."""
 
 
@@ -307,7 +307,7 @@
     """
 
     stalled: tuple[StalledRequest, ...] = ()
-    pace: float = 1.0
+    slowdown: float = 1.0
     born: int = UNTOLD
     accepted: int | None = None
     busy: bool = False
@@ -317,7 +317,7 @@
     """What engines tell of themselves."""
 
     async def report(
-        self, address: str, patience: float
+        self, address: str, timeout: float
     ) -> EngineReport | Unavailable | Undecodable:
         """Return what the engine at an address tells within some seconds."""
 
--- a/packages/relay/src/lacewingcourse/relay/sending.py
+++ b/packages/relay/src/lacewingcourse/relay/sending.py
@@ -14,7 +14,7 @@
     NotSent,
     Unsent,
 )
-from lacewingcourse.relay.ports import AnswerHead, Sending, Standing
+from lacewingcourse.relay.ports import AnswerHead, AnswerKind, Sending
 from lacewingcourse.relay.upstream import (
     Abandoned,
     Arrival,
@@ -130,7 +130,7 @@
         def is_ours(status: int, headers: HTTPHeaders) -> bool:
             head = self.codec.head(status, headers, request)
             self.on_head(sending, head, sent_at)
-            return head.standing is not Standing.FOREIGN
+            return head.answer_kind is not AnswerKind.FOREIGN
 
         exchange = Exchange(connection, is_ours)
         headers = self.codec.outgoing(request, sending)
@@ -270,9 +270,9 @@
             return NoAnswer(
                 SendOutcome.MAY_HAVE_RUN, reason, connection_lost=True, dropped=dropped
             )
-        if head.standing is Standing.REJECTED:
+        if head.answer_kind is AnswerKind.REJECTED:
             reason = f"rejected with {head.status}"
             return NoAnswer(SendOutcome.REJECTED, reason)
-        if head.standing is not Standing.ANSWERED:
+        if head.answer_kind is not AnswerKind.ANSWERED:
             return NoAnswer(SendOutcome.MAY_HAVE_RUN, head.reason)
         return WholeAnswer(head, bytes(self.body))
--- a/packages/relay/src/lacewingcourse/relay/stream_run.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_run.py
@@ -8,7 +8,7 @@
 import attrs
 
 from lacewingcourse.core.errors import Refusal
-from lacewingcourse.relay.ports import Standing
+from lacewingcourse.relay.ports import AnswerKind
 from lacewingcourse.relay.sending import (
     DROP_NOTICED,
     SERVER_ERROR,
@@ -328,14 +328,14 @@
         self.sender.release(exchange, head if whole else None)
         if isinstance(arrival, Abandoned):
             return RunResult(StreamEnd.ABANDONED, arrival.reason)
-        if head.standing is Standing.REJECTED:
+        if head.answer_kind is AnswerKind.REJECTED:
             reason = f"rejected with {head.status}"
             job.note(SendOutcome.REJECTED, reason)
             return RunResult(
                 StreamEnd.REJECTED, reason, head.fault_address, head.misdirected
             )
         job.note(SendOutcome.MAY_HAVE_RUN, f"status {head.status} {head.reason}")
-        if head.standing is not Standing.ANSWERED or not whole or job.caller.begun:
+        if head.answer_kind is not AnswerKind.ANSWERED or not whole or job.caller.begun:
             return RunResult(StreamEnd.LOST, job.reason)
         self.state.failure = WholeAnswer(head, bytes(body))
         # What an engine says of the request itself, another one would say as well.
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/restarts.py
@@ -120,9 +120,9 @@
         target="/",
         key=None,
         body=b"",
-        patience=None,
+        timeout=None,
         received_at=now,
-        most_answer=MAX_EVENTS * EVENT_TOKENS,
+        max_answer_tokens=MAX_EVENTS * EVENT_TOKENS,
     )
 
 
--- a/packages/relay/tests/relay/stream_play.py
+++ b/packages/relay/tests/relay/stream_play.py
@@ -23,7 +23,7 @@
     Unsent,
 )
 from lacewingcourse.relay.job import Job
-from lacewingcourse.relay.ports import AnswerHead, EngineReport, Standing
+from lacewingcourse.relay.ports import AnswerHead, AnswerKind, EngineReport
 from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.sending import Sender
 from lacewingcourse.relay.stall_watcher import StallWatcher
@@ -260,7 +260,7 @@
 
         return change
 
-    async def _report(self, address: str, patience: float) -> EngineReport:
+    async def _report(self, address: str, timeout: float) -> EngineReport:
         return EngineReport()
 
     def _find(self, job, shape, demand, besides=()) -> Path | Refusal:
@@ -286,7 +286,7 @@
             received_at=0.0,
             resume_after=self.resume_after,
             answer_hint=None,
-            most_answer=EVENTS,
+            max_answer_tokens=EVENTS,
             prompt=100,
         )
         return Job(request, route, "rooms", Organisation(""), self.caller, False, 20.0)
@@ -300,8 +300,8 @@
         )
 
     def _head(self, status, headers, request) -> AnswerHead:
-        standing = Standing.ANSWERED if status == 200 else Standing.REJECTED
-        return AnswerHead(status, headers, standing)
+        answer_kind = AnswerKind.ANSWERED if status == 200 else AnswerKind.REJECTED
+        return AnswerHead(status, headers, answer_kind)
 
     async def reserve(self, address, fresh) -> SimpleNamespace | NotSent:
         start, end = self.lacks_descriptors
--- a/packages/relay/tests/relay/test_caller.py
+++ b/packages/relay/tests/relay/test_caller.py
@@ -272,11 +272,11 @@
             path=target,
             target=target,
             key=None,
-            patience=None,
+            timeout=None,
             id="r",
             received_at=now,
             body=b"",
-            most_answer=0,
+            max_answer_tokens=0,
         ),
         refusal=lambda refusal, request: (refusal.answer.status, HTTPHeaders(), b""),
     )
--- a/packages/relay/tests/relay/test_calls.py
+++ b/packages/relay/tests/relay/test_calls.py
@@ -28,7 +28,7 @@
     Unsent,
 )
 from lacewingcourse.relay.job import Job
-from lacewingcourse.relay.ports import AnswerHead, Standing
+from lacewingcourse.relay.ports import AnswerHead, AnswerKind
 from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.sending import Sender, WholeAnswer
 from lacewingcourse.relay.upstream import (
@@ -130,8 +130,8 @@
         return Job(request, route, "desk", Organisation(""), caller, False, 2.5)
 
     def _head(self, status, headers, request) -> AnswerHead:
-        standing = Standing.REJECTED if status == REJECTED else Standing.ANSWERED
-        return AnswerHead(status, headers, standing)
+        answer_kind = AnswerKind.REJECTED if status == REJECTED else AnswerKind.ANSWERED
+        return AnswerHead(status, headers, answer_kind)
 
     async def reserve(self, address, fresh) -> SimpleNamespace | NotSent:
         if self.unsent is not None:
--- a/packages/relay/tests/relay/test_configuration_follower.py
+++ b/packages/relay/tests/relay/test_configuration_follower.py
@@ -12,7 +12,7 @@
 from lacewingcourse.relay.application import Application
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.followers import ConfigurationFollower
-from lacewingcourse.relay.ports import ConfigurationNews
+from lacewingcourse.relay.ports import ConfigurationUpdate
 from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.staleness import StalenessGuard
 
@@ -34,17 +34,17 @@
     """
 
     now: float = 100.0
-    news: ConfigurationNews = ConfigurationNews(None)
+    news: ConfigurationUpdate = ConfigurationUpdate(None)
     took: float = 0.0
     calls: list[str] = attrs.field(factory=list)
 
-    async def newest(self) -> ConfigurationNews:
+    async def newest(self) -> ConfigurationUpdate:
         return self.answer("newest")
 
-    async def next(self, wait: float) -> ConfigurationNews:
+    async def next(self, wait: float) -> ConfigurationUpdate:
         return self.answer("next")
 
-    def answer(self, call: str) -> ConfigurationNews:
+    def answer(self, call: str) -> ConfigurationUpdate:
         self.calls.append(call)
         self.now += self.took
         return self.news
@@ -67,7 +67,7 @@
 
 
 def read(
-    follower: ConfigurationFollower, news: ConfigurationNews, took: float = 0.0
+    follower: ConfigurationFollower, news: ConfigurationUpdate, took: float = 0.0
 ) -> None:
     """Read once, with an answer that takes some seconds."""
     follower.source.news, follower.source.took = news, took
@@ -75,45 +75,45 @@
 
 
 def test_a_read_that_more_versions_follow_does_not_count_as_the_newest(follower):
-    read(follower, ConfigurationNews(table(3), records=1, behind=7))
+    read(follower, ConfigurationUpdate(table(3), records=1, behind=7))
     assert follower.routing_state.table.version == 3
     assert follower.freshness.due(1, 100.0)
 
 
 def test_a_follower_skips_versions_before_one_that_a_peer_sent(follower):
-    read(follower, ConfigurationNews(table(3), records=1))
-    read(follower, ConfigurationNews(None))
+    read(follower, ConfigurationUpdate(table(3), records=1))
+    read(follower, ConfigurationUpdate(None))
     follower.apply(table(9), "another")
-    read(follower, ConfigurationNews(None))
-    read(follower, ConfigurationNews(None))
+    read(follower, ConfigurationUpdate(None))
+    read(follower, ConfigurationUpdate(None))
     assert follower.source.calls == ["newest", "next", "newest", "next"]
 
 
 def test_a_slow_answer_confirms_the_version_as_of_its_request(follower):
-    read(follower, ConfigurationNews(table(3), records=1), took=1.5)
+    read(follower, ConfigurationUpdate(table(3), records=1), took=1.5)
     assert follower.freshness.age(follower.source.now) == pytest.approx(1.5)
 
 
 def test_a_read_without_changes_confirms_the_version_as_of_the_end_of_its_wait(
     follower,
 ):
-    read(follower, ConfigurationNews(None, waited=0.8), took=1.1)
+    read(follower, ConfigurationUpdate(None, waited=0.8), took=1.1)
     assert follower.freshness.age(follower.source.now) == pytest.approx(0.3)
 
 
 def test_an_unreadable_version_confirms_nothing_until_a_readable_one_comes(
     follower,
 ):
-    read(follower, ConfigurationNews(table(3), records=1))
-    read(follower, ConfigurationNews(Undecodable("no JSON"), records=1), took=3.0)
-    read(follower, ConfigurationNews(None, waited=0.5), took=0.5)
+    read(follower, ConfigurationUpdate(table(3), records=1))
+    read(follower, ConfigurationUpdate(Undecodable("no JSON"), records=1), took=3.0)
+    read(follower, ConfigurationUpdate(None, waited=0.5), took=0.5)
     assert follower.freshness.age(follower.source.now) == pytest.approx(3.5)
-    read(follower, ConfigurationNews(table(5), records=1), took=0.1)
+    read(follower, ConfigurationUpdate(table(5), records=1), took=0.1)
     assert follower.freshness.age(follower.source.now) == pytest.approx(0.1)
 
 
 def test_an_unreadable_version_delays_the_next_read(follower):
-    read(follower, ConfigurationNews(Undecodable("no JSON"), records=1))
+    read(follower, ConfigurationUpdate(Undecodable("no JSON"), records=1))
     assert not follower.freshness.due(0, follower.source.now)
 
 
--- a/packages/relay/tests/relay/test_endings.py
+++ b/packages/relay/tests/relay/test_endings.py
@@ -40,7 +40,9 @@
 def open_for(shape):
     """Return a function that makes an entry with one open answer."""
 
-    def make(most_answer=0, events=0, received=NOW, until=500.0, routed=True, **told):
+    def make(
+        max_answer_tokens=0, events=0, received=NOW, until=500.0, routed=True, **told
+    ):
         caller = Caller(ended=False, gone=False)
         vars(caller).update(told)
         routing_state = RoutingState()
@@ -51,7 +53,9 @@
             routing_state.durations.note("rooms", 2.0)
             routing_state.durations.note_stream("rooms", 0.5, INTERVAL)
         job = SimpleNamespace(
-            request=SimpleNamespace(most_answer=most_answer, received_at=received),
+            request=SimpleNamespace(
+                max_answer_tokens=max_answer_tokens, received_at=received
+            ),
             route=route_of("rooms", RetrySafety.RESUMABLE_STREAM),
             service="rooms",
             events=events,
@@ -80,12 +84,12 @@
     ("events", "rest"), [(0, 0.5 + 100 * INTERVAL), (40, 60 * INTERVAL)]
 )
 def test_a_stream_lasts_as_long_as_its_events_may(open_for, events, rest):
-    endings = open_for(most_answer=100, events=events)
+    endings = open_for(max_answer_tokens=100, events=events)
     assert endings.ends_in() == pytest.approx(rest)
 
 
 def test_an_entry_does_not_end_while_callers_are_sent_to_it(open_for):
-    endings = open_for(most_answer=100, events=99)
+    endings = open_for(max_answer_tokens=100, events=99)
     assert endings.ends_in() == pytest.approx(ASKED + BALANCER_DELAY - NOW)
 
 
@@ -97,7 +101,7 @@
     "open_answer",
     [
         {"received": NOW - 2.0},
-        {"most_answer": 1_000},
+        {"max_answer_tokens": 1_000},
         {"routed": False},
     ],
     ids=["beyond its route", "long", "not arrived"],
@@ -110,7 +114,7 @@
     "open_answer", [{"until": NOW + 1.0}, {"ended": True}, {"gone": True}], ids=str
 )
 def test_an_answer_lasts_no_longer_than_its_caller_waits(open_for, open_answer):
-    endings = open_for(most_answer=1_000, **open_answer)
+    endings = open_for(max_answer_tokens=1_000, **open_answer)
     assert endings.ends_in() == pytest.approx(ASKED + BALANCER_DELAY - NOW)
 
 
--- a/packages/relay/tests/relay/test_last_requests.py
+++ b/packages/relay/tests/relay/test_last_requests.py
@@ -137,9 +137,9 @@
         target="/",
         key=None,
         body=b"",
-        patience=float(headers.get(PATIENCE_HEADER, "inf")),
+        timeout=float(headers.get(PATIENCE_HEADER, "inf")),
         received_at=now,
-        most_answer=int(headers[MAX_EVENTS_HEADER]) * EVENT_TOKENS,
+        max_answer_tokens=int(headers[MAX_EVENTS_HEADER]) * EVENT_TOKENS,
     )
 
 
--- a/packages/relay/tests/relay/test_limit_reader.py
+++ b/packages/relay/tests/relay/test_limit_reader.py
@@ -10,7 +10,7 @@
 from lacewingcourse.core.pipelines.request_limits import NO_LIMIT, LimitTable
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.limit_reader import LimitReader
-from lacewingcourse.relay.ports import AnswerHead, Standing
+from lacewingcourse.relay.ports import AnswerHead, AnswerKind
 
 
 @pytest.fixture
@@ -25,8 +25,8 @@
     return SimpleNamespace(observe=made.observe, limits=made.limits, lines=lines)
 
 
-def answer(limit, standing=Standing.ANSWERED):
-    return AnswerHead(200, HTTPHeaders(), standing, limit=limit)
+def answer(limit, answer_kind=AnswerKind.ANSWERED):
+    return AnswerHead(200, HTTPHeaders(), answer_kind, limit=limit)
 
 
 SENDING = SimpleNamespace(incarnation="a@1")
@@ -43,15 +43,15 @@
     ]
 
 
-@pytest.mark.parametrize("standing", [Standing.REJECTED, Standing.BROKEN])
-def test_only_an_answer_of_the_endpoint_ends_its_limit(reader, standing):
-    reader.observe(SENDING, answer(2.0, standing), 1.0)
-    reader.observe(SENDING, answer(NO_LIMIT, standing), 2.5)
+@pytest.mark.parametrize("answer_kind", [AnswerKind.REJECTED, AnswerKind.BROKEN])
+def test_only_an_answer_of_the_endpoint_ends_its_limit(reader, answer_kind):
+    reader.observe(SENDING, answer(2.0, answer_kind), 1.0)
+    reader.observe(SENDING, answer(NO_LIMIT, answer_kind), 2.5)
     assert reader.limits.named("a@1") == 2.0
 
 
 def test_the_answer_to_another_request_names_nothing(reader):
-    reader.observe(SENDING, answer(2.0, Standing.FOREIGN), 1.0)
+    reader.observe(SENDING, answer(2.0, AnswerKind.FOREIGN), 1.0)
     assert reader.limits.members == {}
 
 
--- a/packages/relay/tests/relay/test_path_finder.py
+++ b/packages/relay/tests/relay/test_path_finder.py
@@ -37,7 +37,7 @@
 def job_of(avoid=(), firsts=None):
     """Return what the finder needs of a request."""
     caller = SimpleNamespace(begun=False)
-    request = SimpleNamespace(prompt=1_000, answer_hint=None, most_answer=0)
+    request = SimpleNamespace(prompt=1_000, answer_hint=None, max_answer_tokens=0)
     return Request(
         service="rooms",
         caller=caller,
--- a/packages/relay/tests/relay/test_placement_duty.py
+++ b/packages/relay/tests/relay/test_placement_duty.py
@@ -31,7 +31,7 @@
 class Reports:
     """Reports of endpoints that do not answer."""
 
-    async def report(self, address, patience):
+    async def report(self, address, timeout):
         return Unavailable("refused")
 
 
@@ -197,7 +197,7 @@
             return OrderOutcome.UNKNOWN
         return self._accept(layers, accepted)
 
-    async def report(self, address, patience):
+    async def report(self, address, timeout):
         return EngineReport(accepted=len(self.loads), busy=bool(self.loads))
 
     def deliver(self):
--- a/packages/relay/tests/relay/test_secured.py
+++ b/packages/relay/tests/relay/test_secured.py
@@ -16,7 +16,7 @@
     NotSent,
     Unsent,
 )
-from lacewingcourse.relay.ports import AnswerHead, Standing
+from lacewingcourse.relay.ports import AnswerHead, AnswerKind
 from lacewingcourse.relay.upstream import End
 
 from .stream_play import NONE, PLENTY, Engine, Run, StreamPlay, whole_answer
@@ -172,7 +172,7 @@
     """Engines whose answers without success are their own, signed ones."""
 
     def _head(self, status, headers, request) -> AnswerHead:
-        return AnswerHead(status, headers, Standing.ANSWERED)
+        return AnswerHead(status, headers, AnswerKind.ANSWERED)
 
 
 @pytest.mark.parametrize("status", [422, 500])
--- a/packages/relay/tests/relay/test_staleness.py
+++ b/packages/relay/tests/relay/test_staleness.py
@@ -90,7 +90,7 @@
             host="h",
             path=path,
             key=None,
-            patience=None,
+            timeout=None,
             received_at=loop.time(),
         )
         if confirmed is not None:
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -37,7 +37,7 @@
         self.found = found
         self.asked: list[str] = []
 
-    async def report(self, address: str, patience: float):
+    async def report(self, address: str, timeout: float):
         self.asked.append(address)
         return self.found
 
@@ -211,7 +211,7 @@
         self.dead = dead
         self.asked: list[str] = []
 
-    async def report(self, address: str, patience: float):
+    async def report(self, address: str, timeout: float):
         self.asked.append(address)
         if address == self.dead:
             await asyncio.Event().wait()
@@ -281,7 +281,7 @@
         self.dead = dead
         self.asked: list[str] = []
 
-    async def report(self, address: str, patience: float):
+    async def report(self, address: str, timeout: float):
         self.asked.append(address)
         await asyncio.sleep(0)
         return Unavailable("refused") if address == self.dead else EngineReport()
@@ -301,7 +301,7 @@
     watcher = make_watcher(None)
     answers = [Unavailable("reset"), EngineReport()]
 
-    async def report(address: str, patience: float):
+    async def report(address: str, timeout: float):
         return answers.pop(0)
 
     watcher.reports = SimpleNamespace(report=report)
@@ -323,7 +323,7 @@
 
 
 def test_what_an_endpoint_says_of_its_pace_is_kept(make_watcher):
-    watcher = make_watcher(EngineReport(pace=5.0))
+    watcher = make_watcher(EngineReport(slowdown=5.0))
     job = make_job(path_of("a"))
     watched_until(watcher, job, 0.13)
     assert watcher.speeds.of("a", 0.1) == 5.0
@@ -331,7 +331,7 @@
 
 
 def test_a_slow_endpoint_is_asked_again_while_streams_use_it(make_watcher):
-    watcher = make_watcher(EngineReport(pace=5.0))
+    watcher = make_watcher(EngineReport(slowdown=5.0))
     watcher.speeds.tell("a", 5.0, now=0.0)
     job = make_job(path_of("a", "b"))
     later = ESTIMATE_KEPT - ASK_AGAIN + 0.1
--- a/packages/relay/tests/relay/test_streams.py
+++ b/packages/relay/tests/relay/test_streams.py
@@ -16,7 +16,7 @@
 from lacewingcourse.core.pipelines.retry_budget import RetryBudget
 from lacewingcourse.core.pipelines.routing import RetrySafety
 from lacewingcourse.core.pipelines.shape import Layers
-from lacewingcourse.relay.ports import AnswerHead, Standing
+from lacewingcourse.relay.ports import AnswerHead, AnswerKind
 from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.streams import StreamForwarder
 from lacewingcourse.relay.upstream import (
@@ -122,7 +122,7 @@
         return AnswerHead(
             status,
             headers,
-            Standing.REJECTED,
+            AnswerKind.REJECTED,
             fault_address="b:1",
             misdirected=status == 421,
         )
@@ -143,7 +143,7 @@
 def make_job():
     """Return what the forwarder needs of a request."""
     request = SimpleNamespace(
-        resume_after="", answer_hint=None, most_answer=20, prompt=100
+        resume_after="", answer_hint=None, max_answer_tokens=20, prompt=100
     )
     job = SimpleNamespace(
         request=request,
--- a/packages/relay/tests/relay/test_version_changes.py
+++ b/packages/relay/tests/relay/test_version_changes.py
@@ -64,7 +64,7 @@
         service="rooms",
         caller=SimpleNamespace(begun=begun),
         avoid=set(),
-        request=SimpleNamespace(prompt=1_000, answer_hint=None, most_answer=0),
+        request=SimpleNamespace(prompt=1_000, answer_hint=None, max_answer_tokens=0),
         only_firsts=None,
         limited=set(),
     )
@@ -133,7 +133,7 @@
     def clock(self) -> float:
         return self.now
 
-    async def report(self, address: str, patience: float) -> EngineReport:
+    async def report(self, address: str, timeout: float) -> EngineReport:
         if self.blocks and self.now == 0.0:
             time.sleep(SECOND_QUESTION + PERIOD / 4)
             self.now = SECOND_QUESTION + PERIOD / 2
