--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/restarts.py
@@ -203,7 +203,7 @@
             routing_state,
             follower,
             follower,
-            SimpleNamespace(lease=None, released=0, hear=lambda *news: None),
+            SimpleNamespace(lease=None, released=0, from_peer=lambda *news: None),
             readiness,
             Decisions(),
             self.clock,
