--- a/packages/relay/src/lacewingcourse/relay/platform_ports.py
+++ b/packages/relay/src/lacewingcourse/relay/platform_ports.py
@@ -1,4 +1,4 @@
-"""The ports of one platform, as an entry is given them."""
+"""The set of ports through which an entry uses its platform."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
     """The ports of one platform.
 
     Attributes:
-        configuration: Where configuration comes from.
-        directory: Where endpoints are listed.
-        orders: Orders to endpoints.
-        reports: What engines tell of themselves.
-        leases: Where the holder of the duty of placing is agreed on.
-        registry: Where entries leave their addresses.
-        codec: How requests look.
-        metrics: Where the entry and the clients of the platform count.
+        configuration: Source of the configuration.
+        directory: Directory of endpoints.
+        orders: Sends orders to endpoints.
+        reports: Requests the reports of engines.
+        leases: Store of the lease of the placement duty.
+        registry: Registry of the addresses of entries.
+        codec: Encodes and decodes requests and answers.
+        metrics: Metrics that the entry and the clients of the platform share.
     """
 
     configuration: ConfigurationSource
--- a/packages/relay/src/lacewingcourse/relay/ports.py
+++ b/packages/relay/src/lacewingcourse/relay/ports.py
@@ -1,4 +1,4 @@
-"""What the entry needs of the platform that it runs on, in the project's own words."""
+"""Ports of an entry: interfaces and data types that are independent of the platform."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
     """A request as a caller sent it.
 
     Attributes:
-        id: Identifier of this try of the caller.
+        id: Identifier of this attempt of the caller.
         method: HTTP method.
         target: Path with query, as sent.
-        host: Host that it names.
-        key: Key that it carries, None for none.
-        patience: Seconds that the caller waits, None if it does not tell.
-        prompt: Tokens of the prompt, 0 if it has none.
-        most_answer: Tokens that the answer may have at the most.
-        answer_hint: Tokens that the caller expects, None if it does not tell.
-        resume_after: Identifier of the last event that the caller has, or empty.
-        headers: All its headers.
-        body: Its body.
-        received_at: When its head had arrived, seconds.
+        host: Host that the request names.
+        key: The caller's key, None for none.
+        timeout: Seconds for which the caller waits, None if unknown.
+        prompt: Number of tokens in the prompt, 0 if it has none.
+        max_answer_tokens: Maximum number of tokens in the answer, 0 if unknown.
+        answer_hint: Number of tokens that the caller expects, None if unknown.
+        resume_after: Identifier of the last event that the caller received, or empty.
+        headers: All headers.
+        body: The body.
+        received_at: When the head had arrived, seconds.
     """
 
     id: str
@@ -69,11 +69,11 @@
         endpoint: Name of the endpoint that must answer.
         address: Its address.
         path: Path through several endpoints, None for a plain service.
-        time_left: Seconds in which the answer is still wanted.
+        time_left: Seconds until the answer is no longer useful.
         organisation: Name of the caller's organisation, empty for none.
-        strip_key: Whether the caller's key stops here.
-        resume_after: Identifier of the last event passed on, or empty.
-        urgency: 0 to 9, 0 for what is served first.
+        strip_key: Whether the caller's key is not forwarded.
+        resume_after: Identifier of the last event that was forwarded, or empty.
+        urgency: From 0, which is served first, to 9.
         incarnation: Id of the endpoint's incarnation.
     """
 
@@ -91,7 +91,7 @@
 
 
 class AnswerKind(Enum):
-    """What the head of an answer says of the request."""
+    """Kinds of answers, by what their heads say about the request."""
 
     ANSWERED = "answered"
     REJECTED = "rejected"
@@ -106,13 +106,14 @@
     Attributes:
         status: HTTP status.
         headers: Its headers, as received.
-        standing: What it says of the request: answered by the endpoint, rejected
-            without having run, an answer to another request, or no valid answer.
+        answer_kind: Whether the endpoint answered the request, rejected it without
+            running it, answered another request, or sent no valid answer.
         fault_address: Address of the endpoint at fault on a path, or empty.
-        misdirected: Whether it is not the one that was meant, or lacks the layers.
-        keep_alive: Seconds for which the connection may stay idle, None if untold.
-        reason: What is wrong with it, for the log.
-        limit: Requests a second that the endpoint takes from all entries together,
+        misdirected: Whether the request reached another endpoint than the intended
+            one, or one without the layers.
+        keep_alive: Seconds for which the connection may stay idle, None if unknown.
+        reason: What is wrong with the answer, for the log.
+        limit: Requests per second that the endpoint accepts from all entries together,
             `NO_LIMIT` if it names none.
     """
 
@@ -132,12 +133,12 @@
 
 
 class RequestCodec(Protocol):
-    """How requests and answers look on the platform."""
+    """Encodes and decodes requests and answers in the form of the platform."""
 
     def decode(
         self, method: str, target: str, headers: HTTPHeaders, now: float
     ) -> CallerRequest | Refusal:
-        """Return a caller's request, without its body yet."""
+        """Return a caller's request without its body, or why it is refused."""
 
     def outgoing(self, request: CallerRequest, sending: Sending) -> HTTPHeaders:
         """Return the headers with which a request is sent to an endpoint."""
@@ -148,21 +149,22 @@
         """Return the head of an endpoint's answer, decoded."""
 
     def for_caller(self, head: AnswerHead) -> HTTPHeaders:
-        """Return the headers that a caller gets with an endpoint's answer."""
+        """Return the headers of an endpoint's answer as they go to the caller."""
 
     def refusal(
         self, refusal: Refusal, request: CallerRequest | None
     ) -> tuple[int, HTTPHeaders, bytes]:
-        """Return status, headers and body with which a request is refused."""
+        """Return the status, headers and body with which a request is refused."""
 
 
 @attrs.frozen
 class Unavailable:
-    """A sentinel value: the platform gave no answer that can be used.
+    """A sentinel value: the platform gave no usable answer.
 
     Attributes:
         reason: What happened.
-        unknown: Whether a change may have been made, or may still be.
+        maybe_applied: Whether the requested change may have been made, or may still be
+            made.
     """
 
     reason: str
@@ -175,7 +177,7 @@
 
     Attributes:
         name: Name of the endpoint.
-        endpoint: What its entry tells, None if the entry was removed.
+        endpoint: The listed endpoint, None if the entry was removed.
     """
 
     name: str
@@ -184,11 +186,11 @@
 
 @attrs.frozen
 class UnreadableEntry:
-    """An entry of the directory that names no endpoint to use.
+    """An entry of the directory that does not describe a usable endpoint.
 
     Attributes:
-        name: Name under which it stands, shortened if it is long.
-        reason: What is wrong with it.
+        name: Key of the entry, cut if it is long.
+        reason: What is wrong with the entry.
     """
 
     name: str
@@ -197,13 +199,13 @@
 
 @attrs.frozen
 class DirectoryUpdate:
-    """What the directory tells.
+    """The result of one read of the directory.
 
     Attributes:
-        whole: Whether this is a listing of all entries, not of changes.
+        whole: Whether it lists all entries instead of the changes.
         entries: Entries in the order in which they were written.
-        position: How far the directory was read.
-        unreadable: Entries that another writer may have left.
+        position: Position up to which the directory was read.
+        unreadable: Unusable entries, which may come from other writers.
     """
 
     whole: bool
@@ -214,16 +216,16 @@
 
 @attrs.frozen
 class ConfigurationUpdate:
-    """What one read of the configuration brought.
+    """The result of one read of the configuration.
 
     Attributes:
-        table: Newest version that was read, None if none was, or why the only one
+        table: Newest version that was read, None if none was read, or why the only one
             cannot be decoded.
-        records: Records that were read.
-        behind: Records that the source holds after these, 0 if the newest is among
-            them.
-        waited: Seconds after the question until which nothing newer had come for
-            certain.
+        records: Number of records that were read.
+        behind: Number of later records that the source holds, 0 if the newest one was
+            read.
+        waited: Seconds after the request during which certainly no newer record was
+            written.
     """
 
     table: RoutingTable | Undecodable | None
@@ -233,27 +235,27 @@
 
 
 class ConfigurationSource(Protocol):
-    """Where accepted configuration comes from."""
+    """Source of the accepted configuration."""
 
     async def newest(self) -> ConfigurationUpdate | Unavailable:
         """Return the newest version."""
 
     async def next(self, wait: float) -> ConfigurationUpdate | Unavailable:
-        """Wait some seconds for a version after the last one returned."""
+        """Wait up to some seconds for a version after the last returned one."""
 
     def decode(self, document: bytes) -> RoutingTable | Undecodable:
-        """Return the version that a published document holds."""
+        """Return the version that a published document contains."""
 
 
 class EndpointDirectory(Protocol):
-    """Where endpoints are listed."""
+    """Directory of endpoints."""
 
     async def poll(self, position: int | None) -> DirectoryUpdate | Unavailable:
-        """Return what changed after a position, or a whole listing for None."""
+        """Return the changes after a position, or a listing of all entries for None."""
 
 
 class OrderOutcome(Enum):
-    """What became of an order."""
+    """Outcomes of orders."""
 
     DONE = "done"
     BEGUN = "begun"
@@ -265,7 +267,7 @@
 
 
 class Orders(Protocol):
-    """Orders to endpoints."""
+    """Sends orders to endpoints."""
 
     async def place(
         self, endpoint: Endpoint, layers: Layers, fencing: int, accepted: int | None
@@ -275,18 +277,19 @@
         Args:
             endpoint: The endpoint.
             layers: The layers.
-            fencing: Fencing number of who orders.
-            accepted: Orders that the endpoint must have accepted since its start, so
-                that one that arrives late is not carried out; None for any number.
+            fencing: Fencing number of the entry that orders.
+            accepted: Number of orders that the endpoint must have accepted since its
+                start to carry out this one, so that a late order has no effect; None
+                for any number.
         """
 
 
 @attrs.frozen
 class StalledRequest:
-    """A request that stands still behind an endpoint that does not answer.
+    """A request that is stalled because an endpoint on its path does not answer.
 
     Attributes:
-        request: Its identifier.
+        request: Identifier of the request.
         address: Address of that endpoint.
     """
 
@@ -296,14 +299,15 @@
 
 @attrs.frozen
 class EngineReport:
-    """What an engine tells of itself.
+    """The report of an engine on its state.
 
     Attributes:
-        stalled: Requests that stand still at it as the first of their path.
-        pace: Times that its steps take as long as published.
-        born: Unix milliseconds of its start, `UNTOLD` if it does not tell.
-        accepted: Orders that it has accepted since its start, None if it does not tell.
-        busy: Whether it is carrying one out.
+        stalled: Stalled requests for which this engine is the first of the path.
+        slowdown: Ratio of the duration of its steps to the published duration.
+        born: Unix time of its start in milliseconds, `UNTOLD` if unknown.
+        accepted: Number of orders that it has accepted since its start, None if
+            unknown.
+        busy: Whether it is carrying out an order.
     """
 
     stalled: tuple[StalledRequest, ...] = ()
@@ -314,21 +318,26 @@
 
 
 class EngineReports(Protocol):
-    """What engines tell of themselves."""
+    """Requests the reports of engines."""
 
     async def report(
         self, address: str, timeout: float
     ) -> EngineReport | Unavailable | Undecodable:
-        """Return what the engine at an address tells within some seconds."""
+        """Return the report of the engine at an address.
+
+        Args:
+            address: The address.
+            timeout: Seconds after which the engine counts as unavailable.
+        """
 
 
 @attrs.frozen
 class Lease:
-    """Who holds a duty.
+    """The lease of a duty.
 
     Attributes:
         holder: Name of the holder.
-        fencing: Its fencing number; later holders have greater ones.
+        fencing: Its fencing number, greater than those of earlier holders.
     """
 
     holder: str
@@ -336,22 +345,30 @@
 
 
 class LeaseStore(Protocol):
-    """Where the holder of a duty is agreed on."""
+    """Store of the lease of a duty."""
 
     async def current(self) -> Lease | None | Unavailable:
-        """Return the present holder, None if there never was one."""
+        """Return the present lease, None if there never was one."""
 
     async def acquire(
         self, holder: str, after: Lease | None
     ) -> Lease | None | Unavailable:
-        """Take the duty unless somebody else took it after a given holder."""
+        """Acquire the duty unless the lease has changed since it was read.
+
+        Args:
+            holder: Name of the new holder.
+            after: The lease that was read, None if there was none.
+
+        Returns:
+            The new lease, None if another holder has acquired the duty.
+        """
 
 
 class PeerRegistry(Protocol):
-    """Where entries leave their addresses for one another."""
+    """Registry of the addresses of entries."""
 
     async def announce(self, name: str, address: str) -> Unavailable | None:
-        """Leave the address of an entry; return why that failed."""
+        """Register the address of an entry; return why that failed, None on success."""
 
     async def listed(self) -> dict[str, str] | Unavailable:
-        """Return the addresses of entries by name, gone ones among them."""
+        """Return the registered addresses by entry, also those of ended entries."""
