--- a/packages/relay/src/lacewingcourse/relay/decisions.py
+++ b/packages/relay/src/lacewingcourse/relay/decisions.py
@@ -27,8 +27,8 @@
 STDOUT = 1
 #: Maximum lines per second of an event without a limit of its own.
 DEFAULT_LINES_PER_SECOND = 200
-#: Maximum lines per second by event, for events that occur with each request. Failures
-#: and refusals have the higher limits, so they are left out last.
+#: Maximum lines per second by event, for events that occur with each request. Refusals
+#: and lost sends have higher limits than answers and sends, so they are left out last.
 MAX_LINES_PER_SECOND = {"served": 60, "sent": 60, "refused": 150, "defect": 5}
 
 
