--- a/packages/relay/tests/relay/leases.py
+++ b/packages/relay/tests/relay/leases.py
@@ -15,15 +15,15 @@
     """
 
     def __init__(self, current, during_read=lambda: None) -> None:
-        self.holder = current
+        self.lease = current
         self.during_read = during_read
         self.taken: list[str] = []
 
     async def current(self):
         self.during_read()
-        return self.holder
+        return self.lease
 
     async def acquire(self, holder, after):
         self.taken.append(holder)
-        self.holder = Lease(holder, (after.fencing if after else 0) + 1)
-        return self.holder
+        self.lease = Lease(holder, (after.fencing if after else 0) + 1)
+        return self.lease
--- a/packages/relay/tests/relay/test_large_duty.py
+++ b/packages/relay/tests/relay/test_large_duty.py
@@ -27,20 +27,20 @@
     """
 
     def __init__(self) -> None:
-        self.holder: Lease | None = None
+        self.lease: Lease | None = None
         self.taken: list[str] = []
 
     async def current(self):
-        found = self.holder
+        found = self.lease
         await asyncio.sleep(0)
         return found
 
     async def acquire(self, holder, after):
-        if after != self.holder:
+        if after != self.lease:
             return None
         self.taken.append(holder)
-        self.holder = Lease(holder, (after.fencing if after else 0) + 1)
-        return self.holder
+        self.lease = Lease(holder, (after.fencing if after else 0) + 1)
+        return self.lease
 
 
 @pytest.fixture
@@ -84,7 +84,7 @@
 def test_one_entry_takes_over_from_a_lost_holder(large_deployment):
     network, store = large_deployment
     exchange_for(network, 5.0)
-    del network.entries[store.holder.holder]
+    del network.entries[store.lease.holder]
     exchange_for(network, HOLDER_TIMEOUT + 5 * EXCHANGE_PERIOD)
     assert len(store.taken) == 2
     exchange_for(network, 10.0)
@@ -94,8 +94,8 @@
 def test_the_age_of_a_holder_that_is_no_hub_reaches_every_zone(large_deployment):
     network, store = large_deployment
     member = "e-12"
-    store.holder = Lease(member, 1)
-    network.entries[member].holder.lease = store.holder
+    store.lease = Lease(member, 1)
+    network.entries[member].holder.lease = store.lease
     exchange_for(network, 12.0)
     assert store.taken == []
     ages = [entry.holder.holder_age() for entry in network.entries.values()]
--- a/packages/relay/tests/relay/test_placement_duty.py
+++ b/packages/relay/tests/relay/test_placement_duty.py
@@ -54,7 +54,7 @@
     duty = make_duty(store)
     duty.holder.lease = Lease("me", 3)
     assert asyncio.run(duty._confirm_duty())
-    store.holder = Lease("other", 4)
+    store.lease = Lease("other", 4)
     assert not asyncio.run(duty._confirm_duty())
     assert duty.holder.lease == Lease("other", 4)
 
@@ -97,7 +97,7 @@
     """A held duty over four endpoints, three of which hold the first layer."""
     now = [0.0]
     duty = make_duty(Leases(None), orders=Orders(), clock=lambda: now[0])
-    duty.holder.lease = duty.holder.store.holder = Lease("me", 1)
+    duty.holder.lease = duty.holder.store.lease = Lease("me", 1)
     service = SimpleNamespace(name="rooms", shape=shape)
     duty.routing_state.table = SimpleNamespace(services={"rooms": service})
     for name, layer in zip("abcd", (0, 0, 0, 1), strict=True):
@@ -140,7 +140,7 @@
     """Most endpoints register within 1.5 seconds, the last one after the plan."""
     now = [0.0]
     duty = make_duty(Leases(None), orders=Orders(), clock=lambda: now[0])
-    duty.holder.lease = duty.holder.store.holder = Lease("me", 1)
+    duty.holder.lease = duty.holder.store.lease = Lease("me", 1)
     service = SimpleNamespace(name="rooms", shape=shape)
     duty.routing_state.table = SimpleNamespace(services={"rooms": service})
     arrivals = {0.5: 60, 1.0: 110, 1.5: 113, 2.5: 114}
@@ -222,7 +222,7 @@
     now = [0.0]
     late_endpoint = LateEndpoint(now)
     duty = make_duty(Leases(None), late_endpoint, lambda: now[0], reports=late_endpoint)
-    duty.holder.lease = duty.holder.store.holder = Lease("me", 1)
+    duty.holder.lease = duty.holder.store.lease = Lease("me", 1)
     service = SimpleNamespace(name="rooms", shape=shape)
     duty.routing_state.table = SimpleNamespace(services={"rooms": service})
     for name, layer in zip("abc", (0, 1, 1), strict=True):
