--- a/packages/relay/tests/relay/leases.py
+++ b/packages/relay/tests/relay/leases.py
@@ -9,7 +9,7 @@
     """A lease store in memory.
 
     Attributes:
-        holder: The present lease, or what a read returns instead.
+        lease: The present lease, or what a read returns instead.
         during_read: Called during each read.
         taken: Names of the holders that acquired the duty, in order.
     """
--- a/packages/relay/tests/relay/test_large_duty.py
+++ b/packages/relay/tests/relay/test_large_duty.py
@@ -22,7 +22,7 @@
     """A lease store that all entries read before the first one writes.
 
     Attributes:
-        holder: The present lease.
+        lease: The present lease.
         taken: Names of the holders in the order in which they acquired the duty.
     """
 
