--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -1,4 +1,4 @@
-"""The entry as one process: its servers, its loops and its end."""
+"""The process of an entry: its servers, background tasks and shutdown."""
 
 from __future__ import annotations
 
@@ -62,17 +62,17 @@
     """One entry.
 
     Attributes:
-        settings: Its settings; their addresses hold for its life.
-        routing_state: What it believes.
+        settings: Its settings; their addresses do not change while the process runs.
+        routing_state: State that routing decisions depend on.
         readiness: Whether it is ready.
-        log: Log of decisions.
+        log: Decision log.
     """
 
     def __init__(
         self,
         settings: RelaySettings,
         platform: Platform,
-        changed: Callable[[], RelaySettings | str | None],
+        read_changed: Callable[[], RelaySettings | str | None],
         front: socket.socket | None = None,
     ) -> None:
         """Make the entry.
@@ -80,9 +80,9 @@
         Args:
             settings: Its settings.
             platform: The ports of its platform.
-            changed: Returns the settings if they have changed, or why they cannot be
-                used.
-            front: Socket that listens for callers already, None if none does.
+            read_changed: Returns the settings if they have changed, None if they have
+                not, or why they cannot be used.
+            front: Socket that already listens for callers, None to open one.
         """
         self.settings = settings
         self._front = front
@@ -110,12 +110,12 @@
             has_predecessor=not settings.first_start,
         )
         self.ended = asyncio.Event()
-        self.reloading = SettingsWatch(changed, self._apply, self.log)
+        self.reloader = SettingsWatch(read_changed, self._apply, self.log)
         self._tasks: list[asyncio.Task] = []
         self._compose()
 
     def _compose(self) -> None:
-        """Make the parts and give each what it needs."""
+        """Create the components with their dependencies."""
         rng = random.Random(self.settings.name)
         self.watch = LoopWatch(self.clock, self.metrics.loop_lag.observe, self._on_lag)
         self.routing_state.watch = self.watch
@@ -149,7 +149,7 @@
             self.clock,
             self.log,
             self._on_suspect,
-            self._on_start,
+            self._on_endpoint_start,
         )
         streams = StreamForwarder(
             self.routing_state,
@@ -160,8 +160,8 @@
             self.admission,
             self.stalls,
             self.log,
-            self._tell_peers,
-            self._on_denied,
+            self._notify_peers,
+            self._on_retry_denied,
         )
         budget = PropagationBudget(self.settings.bounds.configuration)
         self.ingress = Ingress(
@@ -196,7 +196,7 @@
             self.log,
             self.clock,
             self._reader_rank,
-            self._tell_peers,
+            self._notify_peers,
             self.stalls.move_streams_from,
             self.metrics.unreadable_entries.inc,
             PropagationBudget(self.settings.bounds.departure),
@@ -255,7 +255,7 @@
             self.metrics.unreadable_messages.inc,
             RETRY_SHARING_POLICIES.get(self.settings.retry_sharing),
         )
-        # A later process of the same name counts anew.
+        # A later process of the same name knows nothing of the permits of this one.
         issuer = PermitIssuer(f"{self.settings.name} {uuid4()}")
         self.permits = PermitExchange(
             send_limits,
@@ -269,15 +269,15 @@
             lambda: self.readiness.draining,
         )
         send_limits.on_demand = self.permits.schedule_check
-        send_limits.on_decrease = self._tell_peers
-        self.house = Housekeeping(
+        send_limits.on_decrease = self._notify_peers
+        self.housekeeper = Housekeeping(
             self.routing_state,
             self.pool,
             self.book,
             self.budget,
             issuer,
             self.clock,
-            self._on_thaw,
+            self._on_resume,
         )
         page = MetricsPage(
             self.metrics,
@@ -287,14 +287,14 @@
             self.clock,
             self.boot_clock,
         )
-        shown = {("GET", METRICS_PATH): page.answer}
+        metrics_handlers = {("GET", METRICS_PATH): page.respond}
         handlers = self.peers.handlers() | self.loans.handlers()
         handlers |= self.permits.handlers()
-        self.peer_server = HTTPServer(SmallServer(handlers | shown))
-        self.metrics_server = HTTPServer(SmallServer(shown))
+        self.peer_server = HTTPServer(SmallServer(handlers | metrics_handlers))
+        self.metrics_server = HTTPServer(SmallServer(metrics_handlers))
 
     async def run(self) -> None:
-        """Serve until the request to end has been carried out."""
+        """Serve until the shutdown is complete."""
         if self._front is None:
             self._listen(self.ingress.server, self.settings.front)
         else:
@@ -309,17 +309,17 @@
         if self.settings.metrics:
             self._listen(self.metrics_server, self.settings.metrics)
         self.loop.add_signal_handler(signal.SIGTERM, self._on_term)
-        self.loop.add_signal_handler(signal.SIGHUP, self.reloading.on_signal)
+        self.loop.add_signal_handler(signal.SIGHUP, self.reloader.on_signal)
         self._start(self.configuration.run())
         self._start(self.directory.run())
         self._start(self.placement.run())
-        self._start(self.house.run())
+        self._start(self.housekeeper.run())
         self._start(self.stalls.run())
         self._start(self.watch.run())
-        self._start(self.reloading.run())
-        self.log.belief("started", zone=self.settings.zone)
+        self._start(self.reloader.run())
+        self.log.log_event("started", zone=self.settings.zone)
         await self.ended.wait()
-        self.log.belief("ended", open=len(self.ingress.callers.open))
+        self.log.log_event("ended", open=len(self.ingress.callers.open))
 
     def _listen(self, server: HTTPServer, address: str) -> None:
         host, port = split_address(address)
@@ -331,7 +331,7 @@
         self._tasks.append(task)
 
     def _on_task_done(self, task: asyncio.Task) -> None:
-        """Tell of a loop that ended, which none should."""
+        """Log the error of a background task, none of which should end."""
         if not task.cancelled() and task.exception() is not None:
             self.log.failed(task.exception())
 
@@ -350,75 +350,84 @@
         return self.book.reader_rank(self.clock(), self.peers.gossip.platform_reachable)
 
     def _on_suspect(self, endpoints: tuple[str, ...], reason: str) -> None:
-        """Leave out endpoints that were found to be dead, and tell it."""
+        """Exclude endpoints that are considered dead, and notify other entries."""
         now = self.clock()
         for endpoint in endpoints:
             self.routing_state.suspects.suspect(endpoint, reason, now, silent=True)
-        self.log.belief("suspected", endpoints=list(endpoints), reason=reason)
-        self._tell_peers()
+        self.log.log_event("suspected", endpoints=list(endpoints), reason=reason)
+        self._notify_peers()
 
-    def _on_start(self, name: str, born: int) -> bool:
-        """Take from an endpoint when it started; tell whether that is new."""
+    def _on_endpoint_start(self, name: str, born: int) -> bool:
+        """Record the start of an endpoint; return whether it replaces the known one.
+
+        Args:
+            name: Name of the endpoint.
+            born: Unix time of its start in milliseconds.
+        """
         if not self.routing_state.fleet.note_start(name, born):
             return False
-        self.log.belief("endpoint_restarted", endpoint=name, born=born)
+        self.log.log_event("endpoint_restarted", endpoint=name, born=born)
         return True
 
-    def _on_denied(self, service: str, request: str) -> None:
-        """Ask other entries for a retry."""
+    def _on_retry_denied(self, service: str, request: str) -> None:
+        """Request the loan of a retry from other entries."""
         self.loans.request_loan(service, request)
 
-    def _tell_peers(self) -> None:
+    def _notify_peers(self) -> None:
         self.peers.exchange_now()
 
-    def _on_ready(self, question: ServerRequest) -> Reply:
+    def _on_ready(self, request: ServerRequest) -> Reply:
         return Reply(200 if self.readiness.is_ready() else 503)
 
     def _on_configuration(self) -> None:
-        """Apply the limits of a version that has come into force, and tell it."""
-        self._tell_peers()
+        """Notify other entries of a version in force, and apply its limits."""
+        self._notify_peers()
         self.ingress.apply_limits(self.routing_state.table.limits)
 
     def _on_lag(self, late: float, section: Section) -> None:
-        """Tell that the loop stood still, and what ran meanwhile."""
-        self.log.belief(
+        """Log that the event loop was blocked, and by which work."""
+        self.log.log_event(
             "loop_late",
             late_ms=round(late * 1000),
             work=section.name,
             took_ms=round(section.seconds * 1000),
         )
 
-    def _on_thaw(self, slept: float) -> None:
-        """Trust nothing that was learned before this process was frozen."""
-        self.log.belief("thawed", slept_ms=round(slept * 1000))
+    def _on_resume(self, suspended_for: float) -> None:
+        """Drop all state that may have become invalid while the machine was suspended.
+
+        Args:
+            suspended_for: Seconds for which it was suspended.
+        """
+        self.log.log_event("thawed", slept_ms=round(suspended_for * 1000))
         self.configuration.freshness.expire()
         self.directory.freshness.expire()
         self.holder.lease = None
         self.budget.drop_loans()
         self.routing_state.send_limits.sharing.clear()
-        self.readiness.add_suspended_time(slept)
+        self.readiness.add_suspended_time(suspended_for)
 
     def _on_term(self) -> None:
         if self.readiness.draining:
             return
-        # The grace time runs while a loop that is held up has not noticed the signal.
-        self.ingress.start_drain(self.watch.previous_look)
+        # A blocked loop handles the signal late; the grace time counts from before it.
+        self.ingress.start_drain(self.watch.previous_tick)
         self._start(self._leave())
-        self._tell_peers()
+        self._notify_peers()
         self.ingress.log_drain_start()
 
     def _apply(self, settings: RelaySettings) -> None:
-        """Put in force what may change in the life of a process."""
+        """Apply the settings that may change while the process runs."""
         self.settings = settings
         self.budget.ratio = settings.bounds.retry_ratio
         self.budget.window = settings.bounds.retry_window
         self.budget.slack = settings.bounds.retry_slack
         self.readiness.grace = settings.bounds.grace
         self.peers.seeds = settings.seeds
-        self._put_budgets(settings.bounds)
+        self._apply_budgets(settings.bounds)
 
-    def _put_budgets(self, bounds: Bounds) -> None:
-        """Put in force how soon changes must be known."""
+    def _apply_budgets(self, bounds: Bounds) -> None:
+        """Apply the times within which changes must have been propagated."""
         self.configuration.budget = PropagationBudget(bounds.configuration)
         self.directory.budget = PropagationBudget(bounds.departure)
         for follower in (self.configuration, self.directory):
@@ -426,7 +435,7 @@
         self.ingress.gateway.guard.limit = self.configuration.budget.stale
 
     async def _leave(self) -> None:
-        """End when the callers' requests have their ends, or cannot get them."""
+        """Carry out the departure, and end the process even if it fails."""
         try:
             await self.ingress.drainer.run()
         finally:
--- a/packages/relay/src/lacewingcourse/relay/decoding.py
+++ b/packages/relay/src/lacewingcourse/relay/decoding.py
@@ -1,4 +1,4 @@
-"""Strict decoding of what other processes write."""
+"""Strict decoding of documents that other processes write."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 T = TypeVar("T")
 
-#: Characters of a reason that are kept; a document may hold anything at any length.
-MOST_REASON = 200
-#: Key of the metadata of an attribute that stands under another name in documents.
+#: Maximum number of characters of a reason, as a document may hold text of any length.
+MAX_REASON_LENGTH = 200
+#: Metadata key of an attribute that has another name in documents.
 DOCUMENT_NAME = "document_name"
-#: What the library says of where something is wrong: steps with indexes.
-PLACE = re.compile(r"\$[\w.\[\]]*")
-#: What the content of a document can make the library raise.
+#: Path of a value in the library's error messages: names and indexes.
+JSON_PATH = re.compile(r"\$[\w.\[\]]*")
+#: Errors that the library may raise because of a document's content.
 CONTENT_ERRORS = (
     ValueError,
     TypeError,
@@ -36,50 +36,60 @@
 
 @attrs.frozen
 class Undecodable:
-    """A sentinel value: bytes hold no document of the wanted kind.
+    """A sentinel value: bytes hold no document of the expected class.
 
     Attributes:
-        reason: What is wrong with them, with the place.
+        reason: What is wrong with the document, and at which path.
     """
 
     reason: str
 
 
 def shortened(text: str) -> str:
-    """Return text at a length that may be logged."""
-    return text if len(text) <= MOST_REASON else text[: MOST_REASON - 3] + "..."
+    """Return text cut to the maximum length of a reason."""
+    return (
+        text
+        if len(text) <= MAX_REASON_LENGTH
+        else text[: MAX_REASON_LENGTH - 3] + "..."
+    )
 
 
 class StrictDecoder:
-    """Turns documents into objects whose values have exactly the declared types.
+    """Decodes documents into objects whose values have exactly the declared types.
 
-    The library's own converter turns strings into numbers and numbers into truth
-    values, so a document of another kind would pass for a wanted one.
+    The library's default converter turns strings into numbers and numbers into
+    booleans, so it would accept documents of another class.
 
     Attributes:
         converter: The library's converter with strict hooks.
-        spelled: Names in documents by names of attributes that are spelled otherwise.
+        document_names: Names in documents by attribute name, for error messages.
     """
 
-    def __init__(self, spell: Callable[[str], str] | None = None) -> None:
+    def __init__(self, document_name: Callable[[str], str] | None = None) -> None:
         """Make a decoder.
 
         Args:
-            spell: Returns the name in documents of an attribute; None for the same.
+            document_name: Returns the name in documents for an attribute's name, None
+                if documents use the attribute's name.
         """
         self.converter = make_converter()
-        self.spelled: dict[str, str] = {}
+        self.document_names: dict[str, str] = {}
         for kind in (bool, str, int):
-            self.converter.register_structure_hook(kind, _exactly(kind))
-        self.converter.register_structure_hook(float, _number)
-        if spell is not None:
-            self._spell = spell
+            self.converter.register_structure_hook(kind, _exact_type_hook(kind))
+        self.converter.register_structure_hook(float, _structure_float)
+        if document_name is not None:
+            self._document_name = document_name
             self.converter.register_structure_hook_factory(attrs.has, self._hook_for)
 
     def decode(self, body: bytes, kind: type[T]) -> T | Undecodable:
-        """Return the document of a kind that bytes hold, or what is wrong with them.
+        """Decode a JSON document; never raises, whatever the bytes are.
 
-        Whatever the bytes are, nothing is raised.
+        Args:
+            body: The encoded document.
+            kind: Class of the object.
+
+        Returns:
+            The object, or what is wrong with the document.
         """
         try:
             document = orjson.loads(body)
@@ -88,51 +98,51 @@
         return self.structure(document, kind)
 
     def structure(self, document: Any, kind: type[T]) -> T | Undecodable:
-        """Return the object of a kind that a document holds, or what is wrong."""
+        """Return the object of a class that a document holds, or what is wrong."""
         try:
             return self.converter.structure(document, kind)
         except (ClassValidationError, IterableValidationError) as error:
             found = transform_error(error, path="$", format_exception=_reason)
             reasons = "; ".join(found)
-            return Undecodable(shortened(PLACE.sub(self._place, reasons)))
+            return Undecodable(shortened(JSON_PATH.sub(self._document_path, reasons)))
         except CONTENT_ERRORS as error:
             return Undecodable(shortened(f"{type(error).__name__}: {error}"))
 
-    def _place(self, found: re.Match) -> str:
-        """Return a place in a document as the document spells it."""
+    def _document_path(self, found: re.Match) -> str:
+        """Return a path with the names that documents use."""
         steps = found[0].split(".")
-        return ".".join(self.spelled.get(step, step) for step in steps)
+        return ".".join(self.document_names.get(step, step) for step in steps)
 
     def _hook_for(self, kind: type) -> Callable[[Any, Any], Any]:
-        """Return what makes objects of a class from documents."""
-        renamed = {}
+        """Return the structure hook for an attrs class."""
+        overrides = {}
         for attribute in attrs.fields(kind):
-            told = attribute.metadata.get(DOCUMENT_NAME)
-            name = told or self._spell(attribute.name)
-            self.spelled[attribute.name] = name
-            renamed[attribute.name] = override(rename=name)
-        return make_dict_structure_fn(kind, self.converter, **renamed)
+            explicit_name = attribute.metadata.get(DOCUMENT_NAME)
+            name = explicit_name or self._document_name(attribute.name)
+            self.document_names[attribute.name] = name
+            overrides[attribute.name] = override(rename=name)
+        return make_dict_structure_fn(kind, self.converter, **overrides)
 
 
 def _reason(error: BaseException, kind: type | None) -> str:
-    """Return what is wrong with a value; validators say it in their first argument."""
+    """Return what is wrong with a value; a `ValueError` holds it as first argument."""
     if type(error) is ValueError and error.args:
         return shortened(str(error.args[0]))
     return format_exception(error, kind)
 
 
-def _exactly(kind: type) -> Callable[[Any, Any], Any]:
-    """Return a hook that takes values of one type, truth values apart from numbers."""
+def _exact_type_hook(kind: type) -> Callable[[Any, Any], Any]:
+    """Return a hook that accepts values of one type; booleans do not count as `int`."""
 
-    def take(value: Any, _: Any) -> Any:
+    def check_type(value: Any, _: Any) -> Any:
         if type(value) is not kind:
             raise TypeError(f"{type(value).__name__} in place of {kind.__name__}")
         return value
 
-    return take
+    return check_type
 
 
-def _number(value: Any, _: Any) -> float:
+def _structure_float(value: Any, _: Any) -> float:
     if type(value) not in (int, float):
         raise TypeError(f"{type(value).__name__} in place of a number")
     return float(value)
--- a/packages/relay/src/lacewingcourse/relay/ingress.py
+++ b/packages/relay/src/lacewingcourse/relay/ingress.py
@@ -122,4 +122,4 @@
     def log_drain_start(self) -> None:
         """Log the number of open requests and when this entry expects to have ended."""
         ends_in = self.restart_estimator.ends_in()
-        self.log.belief("leaving", open=len(self.callers.open), ends_in=ends_in)
+        self.log.log_event("leaving", open=len(self.callers.open), ends_in=ends_in)
--- a/packages/relay/src/lacewingcourse/relay/limit_reader.py
+++ b/packages/relay/src/lacewingcourse/relay/limit_reader.py
@@ -8,7 +8,7 @@
 
 from lacewingcourse.core.pipelines.request_limits import NO_LIMIT
 from lacewingcourse.relay.decoding import Undecodable
-from lacewingcourse.relay.ports import Standing
+from lacewingcourse.relay.ports import AnswerKind
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -46,15 +46,15 @@
             sent_at: Time of the send, seconds.
         """
         named = head.limit
-        if head.standing is Standing.FOREIGN:
+        if head.answer_kind is AnswerKind.FOREIGN:
             return
         if isinstance(named, Undecodable):
             self.on_unreadable()
-            self.log.belief(
+            self.log.log_event(
                 "limit_unreadable", endpoint=sending.incarnation, reason=named.reason
             )
             return
-        if named == NO_LIMIT and head.standing is not Standing.ANSWERED:
+        if named == NO_LIMIT and head.answer_kind is not AnswerKind.ANSWERED:
             return
         endpoint, before = sending.incarnation, self.limits.named(sending.incarnation)
         if self.limits.observe(endpoint, named, sent_at, self.clock()):
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -194,7 +194,7 @@
             self.probing.discard(part.address)
         if isinstance(found, Undecodable):
             # It responded, so it is alive; the content of its report is unknown.
-            self.log.belief(
+            self.log.log_event(
                 "report_unreadable", endpoint=part.endpoint, reason=found.reason
             )
         elif isinstance(found, Unavailable):
@@ -205,13 +205,13 @@
             ):
                 self._declare_dead({part.endpoint}, f"no report: {found.reason}")
         elif isinstance(found, AllUnavailable):
-            self.log.belief(
+            self.log.log_event(
                 "not_suspected", endpoint=part.endpoint, compared=found.compared
             )
         elif self.on_start(part.name, found.born):
             self.move_streams_from(part.endpoint)
         else:
-            self.speeds.tell(part.endpoint, found.pace, self.clock())
+            self.speeds.tell(part.endpoint, found.slowdown, self.clock())
             self._apply_report(part, found)
 
     async def _probe_twice(
--- a/packages/relay/src/lacewingcourse/relay/stream_attempt.py
+++ b/packages/relay/src/lacewingcourse/relay/stream_attempt.py
@@ -8,7 +8,7 @@
 import attrs
 
 from lacewingcourse.core.errors import Refusal
-from lacewingcourse.relay.ports import Standing
+from lacewingcourse.relay.ports import AnswerKind
 from lacewingcourse.relay.sending import (
     SERVER_ERROR,
     STALE_CONNECTION_WINDOW,
@@ -345,7 +345,7 @@
         self.sender.release(exchange, head if whole else None)
         if isinstance(arrival, Abandoned):
             return AttemptResult(AttemptEnd.ABANDONED, arrival.reason)
-        if head.standing is Standing.REJECTED:
+        if head.answer_kind is AnswerKind.REJECTED:
             reason = f"rejected with {head.status}"
             job.record_outcome(SendOutcome.REJECTED, reason)
             return AttemptResult(
@@ -355,7 +355,7 @@
             SendOutcome.MAY_HAVE_RUN, f"status {head.status} {head.reason}"
         )
         if (
-            head.standing is not Standing.ANSWERED
+            head.answer_kind is not AnswerKind.ANSWERED
             or not whole
             or job.caller.response_started
         ):
--- a/packages/relay/tests/relay/leases.py
+++ b/packages/relay/tests/relay/leases.py
@@ -1,4 +1,4 @@
-"""A lease store that a test sets."""
+"""A lease store in memory whose content a test sets."""
 
 from __future__ import annotations
 
@@ -6,18 +6,24 @@
 
 
 class Leases:
-    """A lease store that a test sets."""
+    """A lease store in memory.
 
-    def __init__(self, current, during=lambda: None) -> None:
-        self.holder = current
-        self.during = during
+    Attributes:
+        lease: The present lease, or what a read returns instead.
+        during_read: Called during each read.
+        taken: Names of the holders that acquired the duty, in order.
+    """
+
+    def __init__(self, current, during_read=lambda: None) -> None:
+        self.lease = current
+        self.during_read = during_read
         self.taken: list[str] = []
 
     async def current(self):
-        self.during()
-        return self.holder
+        self.during_read()
+        return self.lease
 
-    async def take(self, holder, after):
+    async def acquire(self, holder, after):
         self.taken.append(holder)
-        self.holder = Lease(holder, (after.fencing if after else 0) + 1)
-        return self.holder
+        self.lease = Lease(holder, (after.fencing if after else 0) + 1)
+        return self.lease
--- a/packages/relay/tests/relay/network.py
+++ b/packages/relay/tests/relay/network.py
@@ -24,7 +24,7 @@
 
 def holder_stub(name: str, book: PeerTable, clock: Clock) -> SimpleNamespace:
     """Return a stub for the duty holder, for tests that do not use it."""
-    return SimpleNamespace(lease=None, released=0, hear=lambda *news: None)
+    return SimpleNamespace(lease=None, released=0, from_peer=lambda *news: None)
 
 
 class Network:
@@ -56,7 +56,7 @@
         )
         nothing = SimpleNamespace(
             draining=False,
-            belief=lambda *args, **fields: None,
+            log_event=lambda *args, **fields: None,
             limit=lambda *fields: None,
         )
         book = PeerTable(name, zone)
--- a/packages/relay/tests/relay/rolling_restart.py
+++ b/packages/relay/tests/relay/rolling_restart.py
@@ -120,9 +120,9 @@
         target="/",
         key=None,
         body=b"",
-        patience=None,
+        timeout=None,
         received_at=now,
-        most_answer=MAX_EVENTS * EVENT_TOKENS,
+        max_answer_tokens=MAX_EVENTS * EVENT_TOKENS,
     )
 
 
@@ -207,7 +207,7 @@
             routing_state,
             follower,
             follower,
-            SimpleNamespace(lease=None, released=0, hear=lambda *news: None),
+            SimpleNamespace(lease=None, released=0, from_peer=lambda *news: None),
             readiness,
             RecordingLog(),
             self.clock,
--- a/packages/relay/tests/relay/test_caller.py
+++ b/packages/relay/tests/relay/test_caller.py
@@ -275,11 +275,11 @@
             path=target,
             target=target,
             key=None,
-            patience=None,
+            timeout=None,
             id="r",
             received_at=now,
             body=b"",
-            most_answer=0,
+            max_answer_tokens=0,
         ),
         refusal=lambda refusal, request: (refusal.answer.status, HTTPHeaders(), b""),
     )
--- a/packages/relay/tests/relay/test_calls.py
+++ b/packages/relay/tests/relay/test_calls.py
@@ -28,7 +28,7 @@
     Unsent,
 )
 from lacewingcourse.relay.job import Job
-from lacewingcourse.relay.ports import AnswerHead, Standing
+from lacewingcourse.relay.ports import AnswerHead, AnswerKind
 from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.sending import Sender, WholeAnswer
 from lacewingcourse.relay.upstream import (
@@ -39,7 +39,7 @@
 
 from .routes import route_of
 from .stream_scenario import NO_RETRIES, UNLIMITED_RETRIES, RecordingLog
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Seconds that a slow endpoint takes, and a fast one.
 SLOW_SECONDS = 1.0
@@ -130,8 +130,8 @@
         return Job(request, route, "desk", Organisation(""), caller, False, 2.5)
 
     def _head(self, status, headers, request) -> AnswerHead:
-        standing = Standing.REJECTED if status == REJECTED else Standing.ANSWERED
-        return AnswerHead(status, headers, standing)
+        answer_kind = AnswerKind.REJECTED if status == REJECTED else AnswerKind.ANSWERED
+        return AnswerHead(status, headers, answer_kind)
 
     async def reserve(self, address, fresh) -> SimpleNamespace | NotSent:
         if self.unsent is not None:
@@ -163,21 +163,21 @@
 @pytest.mark.parametrize("lacks", [{"slack": NO_RETRIES}, {"endpoints": 1}])
 def test_slow_endpoint_is_awaited_without_a_retry_or_another_endpoint(lacks):
     played = CallPlay(**lacks)
-    answer = play(played.serve())
+    answer = run_virtual(played.serve())
     assert isinstance(answer, WholeAnswer)
     assert len(played.sends) == 1
 
 
 def test_slow_endpoint_is_abandoned_for_another_endpoint():
     played = CallPlay()
-    answer = play(played.serve())
+    answer = run_virtual(played.serve())
     assert isinstance(answer, WholeAnswer)
     assert [send.abandoned for send in played.sends] == [True, False]
 
 
 def test_non_idempotent_call_waits_for_its_endpoint():
     played = CallPlay(retry_safety=RetrySafety.ONCE)
-    assert isinstance(play(played.serve()), WholeAnswer)
+    assert isinstance(run_virtual(played.serve()), WholeAnswer)
     assert len(played.sends) == 1
 
 
@@ -187,7 +187,7 @@
     played = CallPlay(
         slack=NO_RETRIES, endpoints=1, drops=True, retry_safety=retry_safety
     )
-    assert isinstance(play(played.serve()), WholeAnswer)
+    assert isinstance(run_virtual(played.serve()), WholeAnswer)
 
 
 @pytest.mark.parametrize(
@@ -200,7 +200,7 @@
 def test_local_send_failure_does_not_suspect_the_endpoint(cause, kind):
     """The endpoint was taken for unreachable, and excluded for all calls."""
     played = CallPlay(unsent=cause)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert ended.kind is kind
     assert ended.outcome is Outcome.NOT_RUN
     assert played.routing_state.suspects.excluded(0.0) == set()
@@ -208,7 +208,7 @@
 
 def test_rejected_call_without_a_retry_is_reported_as_not_run():
     """Its caller was told that it may have run, and not when to retry."""
-    ended = play(CallPlay(slack=NO_RETRIES, status=REJECTED).serve())
+    ended = run_virtual(CallPlay(slack=NO_RETRIES, status=REJECTED).serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
     assert ended.outcome is Outcome.NOT_RUN
     assert ended.retry_after is not None
@@ -223,7 +223,7 @@
 
     played.codec.head = fails
     with pytest.raises(ValueError, match="a defect"):
-        play(played.serve())
+        run_virtual(played.serve())
     assert [send.abandoned for send in played.sends] == [True]
 
 
@@ -236,14 +236,14 @@
 def test_call_skips_an_endpoint_at_its_limit():
     played = CallPlay(slow=FAST_SECONDS)
     name_limit(played, "e0")
-    assert isinstance(play(played.serve()), WholeAnswer)
+    assert isinstance(run_virtual(played.serve()), WholeAnswer)
     assert played.sent_to == ["e1"]
 
 
 def test_call_is_overloaded_when_every_endpoint_is_at_its_limit():
     played = CallPlay()
     name_limit(played, "e0", "e1")
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert ended.kind is ErrorKind.OVERLOADED
     assert ended.outcome is Outcome.NOT_RUN
     assert ended.retry_after > 0
@@ -257,7 +257,7 @@
     played.routing_state.send_limits.sharing.accept_grant(
         "e0", grant, "i", 0.0, 0.0, 0.0
     )
-    assert isinstance(play(played.serve()), WholeAnswer)
+    assert isinstance(run_virtual(played.serve()), WholeAnswer)
     assert played.sent_to == ["e0"]
 
 
@@ -269,6 +269,6 @@
     played.routing_state.send_limits.sharing.accept_grant(
         "e0", grant, "i", 0.0, 0.0, 0.0
     )
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert ended.outcome is Outcome.UNKNOWN
     assert played.sent_to == ["e0"]
--- a/packages/relay/tests/relay/test_concurrent_retries.py
+++ b/packages/relay/tests/relay/test_concurrent_retries.py
@@ -24,7 +24,7 @@
     whole_answer,
 )
 from .test_calls import FAST_SECONDS, REJECTED, CallPlay
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Requests on an endpoint, and retries left in the budget when it is lost.
 REQUESTS = 12
@@ -104,7 +104,7 @@
     async def together():
         return await asyncio.gather(*(one.serve(*scheduled_calls) for one in scenarios))
 
-    return play(together())
+    return run_virtual(together())
 
 
 def retries_of(streams) -> int:
@@ -278,6 +278,6 @@
         serving.cancel()
         await asyncio.wait({serving})
 
-    play(cancel())
+    run_virtual(cancel())
     assert not budget.holds[service]
     assert sum(budget.take(service, 1.0) for _ in range(REQUESTS)) == RETRIES_LEFT
--- a/packages/relay/tests/relay/test_failover_safety.py
+++ b/packages/relay/tests/relay/test_failover_safety.py
@@ -16,7 +16,7 @@
     NotSent,
     Unsent,
 )
-from lacewingcourse.relay.ports import AnswerHead, Standing
+from lacewingcourse.relay.ports import AnswerHead, AnswerKind
 from lacewingcourse.relay.upstream import End
 
 from .stream_scenario import (
@@ -27,7 +27,7 @@
     StreamScenario,
     whole_answer,
 )
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 SHORT_PAUSE = Engine(pause_after=5, pause=0.4)
 IN_PAUSE = 0.4
@@ -56,7 +56,7 @@
     scenario = UnreachableStream(
         shape, {"a": SHORT_PAUSE}, slack=ONE_RETRY, unreachable=("c",)
     )
-    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert scenario.caller.body == whole_answer()
 
 
@@ -64,7 +64,7 @@
     """The next path has no room, which is known only from its engine's response."""
     engines = {"a": SHORT_PAUSE, "c": Engine(status=503)}
     scenario = StreamScenario(shape, engines, slack=ONE_RETRY)
-    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert scenario.caller.body == whole_answer()
 
 
@@ -79,7 +79,9 @@
     def look(watcher) -> None:
         first.extend(run.abandoned for _, _, run in scenario.runs)
 
-    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b")), (IN_PAUSE + 0.2, look)))
+    run_virtual(
+        scenario.serve((IN_PAUSE, scenario.declare_dead("b")), (IN_PAUSE + 0.2, look))
+    )
     assert first == [False, False]
     assert [run.abandoned for _, _, run in scenario.runs] == [True, False]
     assert scenario.caller.body == whole_answer()
@@ -88,7 +90,7 @@
 def test_an_attempt_that_resumes_before_the_standby_was_accepted_is_kept(shape):
     engines = {"a": SHORT_PAUSE, "c": SLOW_START}
     scenario = StreamScenario(shape, engines)
-    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert [run.abandoned for _, _, run in scenario.runs] == [False, True]
     assert scenario.caller.body == whole_answer()
 
@@ -96,7 +98,7 @@
 def test_the_standby_continues_if_the_stalled_attempt_ends(shape):
     engines = {"a": Engine(pause_after=5, pause=0.3, breaks=True), "c": SLOW_START}
     scenario = StreamScenario(shape, engines)
-    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert scenario.firsts == ["a", "c"]
     assert scenario.caller.body == whole_answer()
 
@@ -104,7 +106,7 @@
 def test_a_stale_connection_of_the_standby_costs_no_attempt(shape):
     engines = {"a": Engine(stops_after=5), "c": Engine(drops=True)}
     scenario = StreamScenario(shape, engines)
-    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert scenario.caller.body == whole_answer()
     assert scenario.job.sends == 2
 
@@ -116,7 +118,7 @@
         scenario.caller.disconnected = True
         scenario.job.on_caller_disconnect()
 
-    play(
+    run_virtual(
         scenario.serve((IN_PAUSE, scenario.declare_dead("b")), (IN_PAUSE + 0.1, leave))
     )
     assert [run.abandoned for _, _, run in scenario.runs] == [True, True]
@@ -125,7 +127,7 @@
 @pytest.mark.parametrize("engine", [SLOW_START, Engine(status=503), Engine(drops=True)])
 def test_attempt_and_standby_leave_no_load(shape, engine):
     scenario = StreamScenario(shape, {"a": SHORT_PAUSE, "c": engine})
-    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert scenario.routing_state.loads.own == {}
 
 
@@ -142,7 +144,7 @@
 
 def test_an_attempt_is_closed_first_if_the_parts_lack_room_for_both(shape):
     scenario = SingleRunStream(shape, {"a": Engine(stops_after=5), "c": SLOW_START})
-    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     (_, _, first), (sent_at, _, _) = scenario.runs
     assert first.abandoned
     assert sent_at < IN_PAUSE + 0.1
@@ -156,21 +158,21 @@
         slack=UNLIMITED_RETRIES,
         unreachable=("c",),
     )
-    play(scenario.serve())
+    run_virtual(scenario.serve())
     assert len(scenario.budget.retries.get("rooms", ())) == 0
 
 
 def test_waiting_for_a_descriptor_uses_no_further_retries(shape):
     engine = Engine(pause_after=5, breaks=True)
     scenario = StreamScenario(shape, {"a": engine}, descriptor_outage=(0.1, 1.0))
-    play(scenario.serve())
+    run_virtual(scenario.serve())
     assert len(scenario.budget.retries["rooms"]) == 1
 
 
 def test_waiting_for_a_descriptor_ends_at_the_route_timeout(shape):
     engine = Engine(pause_after=5, breaks=True)
     scenario = StreamScenario(shape, {"a": engine}, descriptor_outage=(0.1, 60.0))
-    play(scenario.serve())
+    run_virtual(scenario.serve())
     assert scenario.ended_at <= 20.1
 
 
@@ -181,7 +183,7 @@
     def leave(watcher) -> None:
         scenario.caller.disconnected = True
 
-    play(scenario.serve((1.0, leave)))
+    run_virtual(scenario.serve((1.0, leave)))
     assert scenario.ended_at <= 1.5
 
 
@@ -190,13 +192,13 @@
     """A stream whose engines' error responses are their own, not rejections."""
 
     def _head(self, status, headers, request) -> AnswerHead:
-        return AnswerHead(status, headers, Standing.ANSWERED)
+        return AnswerHead(status, headers, AnswerKind.ANSWERED)
 
 
 @pytest.mark.parametrize("status", [422, 500])
 def test_an_engines_error_is_passed_on_if_no_retry_is_left(shape, status):
     scenario = OwnErrorStream(shape, {"a": Engine(status=status)}, slack=NO_RETRIES)
-    play(scenario.serve())
+    run_virtual(scenario.serve())
     assert scenario.caller.status == status
 
 
@@ -228,14 +230,14 @@
 
 def test_a_stalled_stream_is_not_sent_again_over_a_dead_part(shape):
     scenario = LateClosedStream(shape, {"a": Engine()}, room_available_at=1.2)
-    play(scenario.serve((0.2, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((0.2, scenario.declare_dead("b"))))
     assert scenario.firsts.count("a") == 1
 
 
 def test_a_connection_closed_long_after_the_send_counts_as_a_crash(shape):
     """The engine crashed while the request waited in it for its first token."""
     scenario = LateClosedStream(shape, {"a": Engine()})
-    play(scenario.serve())
+    run_virtual(scenario.serve())
     assert scenario.firsts == ["a", "c"]
     assert scenario.routing_state.crashes.losses(scenario.ended_at)
 
@@ -243,14 +245,14 @@
 def test_an_active_stream_stays_on_a_part_that_is_reported_dead(shape):
     """Its events refute the report; each such move cost an attempt and a retry."""
     scenario = StreamScenario(shape, {"a": Engine()})
-    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert scenario.firsts == ["a"]
 
 
 def test_an_active_stream_is_not_broken_off_by_a_move(shape):
     engines = {"a": Engine(), "c": Engine(status=503)}
     scenario = StreamScenario(shape, engines, slack=ONE_RETRY)
-    play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert scenario.caller.body == whole_answer()
 
 
@@ -267,6 +269,6 @@
     """It ended a stream that stalled behind a dead part while a connection was made."""
     engine = Engine(pause_after=5, pause=0.2, breaks=True)
     scenario = SlowConnectStream(shape, {"a": engine})
-    play(scenario.serve((0.55, scenario.declare_dead("b"))))
+    run_virtual(scenario.serve((0.55, scenario.declare_dead("b"))))
     assert scenario.caller.body == whole_answer()
     assert scenario.routing_state.crashes.losses(scenario.ended_at) == {}
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -24,7 +24,7 @@
     StreamScenario,
     whole_answer,
 )
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: An engine that pauses for a moment after its fifth event.
 SHORT_PAUSE = Engine(pause_after=5, pause=0.4)
@@ -44,7 +44,7 @@
 
 def test_a_stalled_attempt_stays_open_without_retries_left(stream):
     scenario = stream(SHORT_PAUSE, slack=NO_RETRIES)
-    ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    ended = run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
     assert scenario.caller.response_complete
     assert scenario.caller.body == whole_answer()
@@ -54,7 +54,7 @@
 def test_a_stalled_attempt_stays_open_while_no_other_path_has_room(stream):
     """The entry closed the attempt and then waited for room until the caller left."""
     scenario = stream(SHORT_PAUSE, room_available_at=100.0)
-    ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    ended = run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
     assert scenario.caller.body == whole_answer()
     assert scenario.firsts == ["a"]
@@ -63,14 +63,14 @@
 @pytest.mark.parametrize("lacks", [{"slack": NO_RETRIES}, {"room_available_at": 100.0}])
 def test_silence_does_not_end_an_attempt_without_replacement(stream, lacks):
     scenario = stream(Engine(pause_after=5, pause=1.9), **lacks)
-    ended = play(scenario.serve())
+    ended = run_virtual(scenario.serve())
     assert ended is None
     assert scenario.caller.body == whole_answer()
 
 
 def test_a_stalled_stream_moves_as_soon_as_another_path_has_room(stream):
     scenario = stream(Engine(pause_after=5, pause=30.0), room_available_at=1.0)
-    ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    ended = run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
     assert scenario.caller.body == whole_answer()
     assert scenario.firsts == ["a", "c"]
@@ -81,7 +81,7 @@
 
 def test_a_stalled_stream_moves_once_a_retry_is_allowed(stream):
     scenario = stream(Engine(pause_after=5, pause=30.0), slack=NO_RETRIES)
-    ended = play(
+    ended = run_virtual(
         scenario.serve(
             (IN_PAUSE, scenario.declare_dead("b")),
             (1.0, scenario.set_slack(UNLIMITED_RETRIES)),
@@ -95,7 +95,7 @@
 def test_a_broken_stream_waits_for_a_retry(stream):
     """It was given up at once, although its caller would have waited two seconds."""
     scenario = stream(Engine(pause_after=5, breaks=True), slack=NO_RETRIES)
-    ended = play(scenario.serve((1.0, scenario.set_slack(UNLIMITED_RETRIES))))
+    ended = run_virtual(scenario.serve((1.0, scenario.set_slack(UNLIMITED_RETRIES))))
     assert ended is None
     assert scenario.caller.body == whole_answer()
     assert scenario.firsts == ["a", "c"]
@@ -105,7 +105,7 @@
     """Its endpoint is declared dead again, and it moves, as a retry is left now."""
     scenario = stream(Engine(pause_after=5, pause=0.4, stops_after=8), slack=NO_RETRIES)
     dead_again_at = 1.1
-    ended = play(
+    ended = run_virtual(
         scenario.serve(
             (IN_PAUSE, scenario.declare_dead("b")),
             (dead_again_at, scenario.set_slack(UNLIMITED_RETRIES)),
@@ -126,7 +126,7 @@
     scenario = stream(
         Engine(pause_after=5, pause=1.0, breaks=True), room_available_at=IN_PAUSE + 1.5
     )
-    ended = play(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
+    ended = run_virtual(scenario.serve((IN_PAUSE, scenario.declare_dead("b"))))
     assert ended is None
     assert scenario.caller.body == whole_answer()
     assert scenario.routing_state.crashes.losses(scenario.ended_at) == {}
@@ -135,7 +135,7 @@
 def test_a_request_that_no_engine_ran_is_refused_as_not_run(stream):
     """Its caller was told that it may have run, and got no Retry-After."""
     scenario = stream(Engine(status=503), slack=NO_RETRIES)
-    ended = play(scenario.serve())
+    ended = run_virtual(scenario.serve())
     assert ended.kind is ErrorKind.RETRIES_EXHAUSTED
     assert ended.outcome is Outcome.NOT_RUN
     assert ended.retry_after is not None
@@ -150,7 +150,7 @@
     usual answer time, so the new request was late in any case.
     """
     scenario = stream(Engine(status=503), slack=NO_RETRIES)
-    ended = play(scenario.serve())
+    ended = run_virtual(scenario.serve())
     assert ended.outcome is Outcome.NOT_RUN
     assert scenario.ended_at <= 0.05
     assert 0.05 <= ended.retry_after <= 0.15
@@ -159,7 +159,7 @@
 def test_a_request_that_may_have_run_waits_for_a_retry(stream):
     """Its caller cannot be told that it has not run, and so would not send it again."""
     scenario = stream(Engine(breaks=True, pause_after=0), slack=NO_RETRIES)
-    play(scenario.serve((0.1, scenario.set_slack(UNLIMITED_RETRIES))))
+    run_virtual(scenario.serve((0.1, scenario.set_slack(UNLIMITED_RETRIES))))
     assert scenario.firsts == ["a", "c"]
     assert scenario.caller.body == whole_answer()
 
@@ -175,7 +175,7 @@
     for seconds in (2.0,) * 20 + (6.0,) * 2:
         scenario.routing_state.durations.note("rooms", seconds)
     scenario._find = lambda *asked: Refusal(ErrorKind.OVERLOADED, "no path has memory")
-    ended = play(scenario.serve())
+    ended = run_virtual(scenario.serve())
     least, most = RETRY_AFTER_ANSWERS
     assert ended.kind is ErrorKind.OVERLOADED
     assert 2.0 * least <= ended.retry_after <= 2.0 * most
@@ -189,7 +189,7 @@
     scenario = stream(
         Engine(drops=True), slack=NO_RETRIES, attempts=1, retry_safety=retry_safety
     )
-    assert play(scenario.serve()) is None
+    assert run_virtual(scenario.serve()) is None
     assert scenario.caller.body == whole_answer()
     assert scenario.routing_state.crashes.losses(scenario.ended_at) == {}
 
@@ -197,13 +197,13 @@
 def test_a_broken_stream_waits_for_a_file_descriptor(stream):
     """It was broken off by the exception that the lack of a descriptor raised."""
     scenario = stream(Engine(pause_after=5, breaks=True), descriptor_outage=(0.1, 1.0))
-    assert play(scenario.serve()) is None
+    assert run_virtual(scenario.serve()) is None
     assert scenario.caller.body == whole_answer()
 
 
 def test_a_request_is_refused_where_no_file_descriptor_is_left(stream):
     scenario = stream(Engine(), descriptor_outage=(0.0, 9.0))
-    ended = play(scenario.serve())
+    ended = run_virtual(scenario.serve())
     assert ended.kind is ErrorKind.OVERLOADED
     assert ended.outcome is Outcome.NOT_RUN
     assert scenario.routing_state.suspects.excluded(scenario.ended_at) == set()
@@ -218,7 +218,7 @@
 
     scenario._head = fails
     with pytest.raises(ValueError, match="a defect"):
-        play(scenario.serve())
+        run_virtual(scenario.serve())
     assert [run.abandoned for _, _, run in scenario.runs] == [True]
 
 
@@ -229,6 +229,6 @@
     The length was that of a whole response, but no event was left to be sent.
     """
     scenario = stream(Engine(), resume_after=resume_after)
-    assert play(scenario.serve()) is None
+    assert run_virtual(scenario.serve()) is None
     assert scenario.caller.response_complete
     assert "Content-Length" not in scenario.caller.headers
--- a/packages/relay/tests/relay/test_path_finder.py
+++ b/packages/relay/tests/relay/test_path_finder.py
@@ -37,7 +37,7 @@
 def job_of(avoid=(), allowed=None):
     """Return what the path finder needs of a request."""
     caller = SimpleNamespace(response_started=False)
-    request = SimpleNamespace(prompt=1_000, answer_hint=None, most_answer=0)
+    request = SimpleNamespace(prompt=1_000, answer_hint=None, max_answer_tokens=0)
     return HashableNamespace(
         service="rooms",
         caller=caller,
--- a/packages/relay/tests/relay/test_requests_while_draining.py
+++ b/packages/relay/tests/relay/test_requests_while_draining.py
@@ -32,7 +32,7 @@
 
 from .routes import route_of
 from .stream_scenario import CallerStub, RecordingLog
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -136,9 +136,9 @@
         target="/",
         key=None,
         body=b"",
-        patience=float(headers.get(PATIENCE_HEADER, "inf")),
+        timeout=float(headers.get(PATIENCE_HEADER, "inf")),
         received_at=now,
-        most_answer=int(headers[MAX_EVENTS_HEADER]) * EVENT_TOKENS,
+        max_answer_tokens=int(headers[MAX_EVENTS_HEADER]) * EVENT_TOKENS,
     )
 
 
@@ -212,7 +212,7 @@
         assert not caller.aborted
         assert caller.response_complete
 
-    play(test())
+    run_virtual(test())
 
 
 @pytest.mark.parametrize("policy", ["limited", "redirected"])
@@ -222,7 +222,7 @@
         assert caller.status == 503
         assert float(caller.headers["Retry-After"]) < 0.1
 
-    play(test())
+    run_virtual(test())
 
 
 def test_request_with_a_deadline_before_the_drain_deadline_is_accepted(entry):
@@ -232,7 +232,7 @@
         caller = await call_while_draining(entry("limited"), 1.0, patience=6.0)
         assert caller.status == 200
 
-    play(test())
+    run_virtual(test())
 
 
 def test_request_is_accepted_until_the_balancer_redirects_callers(entry):
@@ -245,7 +245,7 @@
         caller = await call_while_draining(entry("redirected"), 2.0)
         assert caller.response_complete
 
-    play(test())
+    run_virtual(test())
 
 
 def test_expected_policy_accepts_an_answer_that_is_then_aborted(entry):
@@ -255,7 +255,7 @@
         caller = await call_while_draining(entry("expected"), 3.0)
         assert caller.aborted
 
-    play(test())
+    run_virtual(test())
 
 
 def test_none_policy_refuses_every_request(entry):
@@ -263,7 +263,7 @@
         caller = await call_while_draining(entry("none"), 0.1)
         assert caller.status == 503
 
-    play(test())
+    run_virtual(test())
 
 
 @pytest.mark.parametrize("policy", ["limited", "none"])
@@ -275,7 +275,7 @@
         await draining_entry.call(1).task
         assert draining_entry.gateway.log.events.count("last_request") == 1
 
-    play(test())
+    run_virtual(test())
 
 
 @pytest.mark.parametrize("slowdown", [1.5, 2.0, 4.0])
@@ -297,4 +297,4 @@
         await drain_task
         assert not caller.aborted
 
-    play(test())
+    run_virtual(test())
--- a/packages/relay/tests/relay/test_restart_estimate.py
+++ b/packages/relay/tests/relay/test_restart_estimate.py
@@ -22,7 +22,7 @@
 from .network import Network
 from .rolling_restart import GRACE, INTERVAL, MAX_EVENTS, RollingRestart
 from .routes import route_of
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: When the entry was asked to shut down, and the present time.
 DRAIN_STARTED_AT, NOW = 10.0, 12.0
@@ -41,7 +41,12 @@
     """Return a function that makes the estimator of an entry with one open answer."""
 
     def make(
-        most_answer=0, events=0, received=NOW, deadline=500.0, routed=True, **attributes
+        max_answer_tokens=0,
+        events=0,
+        received=NOW,
+        deadline=500.0,
+        routed=True,
+        **attributes,
     ):
         caller = Caller(response_ended=False, disconnected=False)
         vars(caller).update(attributes)
@@ -53,7 +58,9 @@
             routing_state.durations.note("rooms", 2.0)
             routing_state.durations.note_stream("rooms", 0.5, INTERVAL)
         job = SimpleNamespace(
-            request=SimpleNamespace(most_answer=most_answer, received_at=received),
+            request=SimpleNamespace(
+                max_answer_tokens=max_answer_tokens, received_at=received
+            ),
             route=route_of("rooms", RetrySafety.RESUMABLE_STREAM),
             service="rooms",
             events=events,
@@ -86,12 +93,12 @@
 def test_stream_lasts_as_long_as_its_remaining_events(
     make_estimator, events, remaining
 ):
-    estimator = make_estimator(most_answer=100, events=events)
+    estimator = make_estimator(max_answer_tokens=100, events=events)
     assert estimator.ends_in() == pytest.approx(remaining)
 
 
 def test_entry_does_not_end_before_the_balancer_stops_sending_callers(make_estimator):
-    estimator = make_estimator(most_answer=100, events=99)
+    estimator = make_estimator(max_answer_tokens=100, events=99)
     assert estimator.ends_in() == pytest.approx(DRAIN_STARTED_AT + BALANCER_DELAY - NOW)
 
 
@@ -103,7 +110,7 @@
     "open_answer",
     [
         {"received": NOW - 2.0},
-        {"most_answer": 1_000},
+        {"max_answer_tokens": 1_000},
         {"routed": False},
     ],
     ids=["beyond its route", "long", "not arrived"],
@@ -120,7 +127,7 @@
     ids=str,
 )
 def test_answer_lasts_no_longer_than_its_caller_waits(make_estimator, open_answer):
-    estimator = make_estimator(most_answer=1_000, **open_answer)
+    estimator = make_estimator(max_answer_tokens=1_000, **open_answer)
     assert estimator.ends_in() == pytest.approx(DRAIN_STARTED_AT + BALANCER_DELAY - NOW)
 
 
@@ -164,7 +171,7 @@
             [end, end], abs=0.1
         )
 
-    play(test())
+    run_virtual(test())
 
 
 def test_refusal_log_line_has_waits_for(monkeypatch):
--- a/packages/relay/tests/relay/test_rolling_restart.py
+++ b/packages/relay/tests/relay/test_rolling_restart.py
@@ -5,7 +5,7 @@
 import pytest
 
 from .rolling_restart import MAX_EVENTS, DrawEventCount, RollingRestart
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Seconds after the first entry is ready within which refused callers return.
 MAX_RETURN_DELAY = 1.5
@@ -26,7 +26,7 @@
         await rolling_restart.restart_all()
         return rolling_restart
 
-    return play(test())
+    return run_virtual(test())
 
 
 @pytest.mark.parametrize("count", [2, 4])
--- a/packages/relay/tests/relay/test_sends_while_draining.py
+++ b/packages/relay/tests/relay/test_sends_while_draining.py
@@ -22,7 +22,7 @@
 from .test_calls import REJECTED, CallPlay
 from .test_drain import OTHER_ENTRY_READY_IN, LogRecorder, entry_with
 from .test_requests_while_draining import Caller
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Seconds from the shutdown request within which an entry must have ended.
 GRACE = 8.0
@@ -90,7 +90,7 @@
     played = DrainingStream(
         shape, {}, is_full=True, room_available_at=AFTER_DRAIN_START
     )
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert played.firsts == []
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
     assert played.ended_at <= DRAIN_STARTS_AT + 2 * RETRY_PERIOD
@@ -99,7 +99,7 @@
 def test_rejected_stream_is_not_sent_again_by_a_draining_entry(shape):
     engines = {"a": Engine(status=REJECTED, accepts_after=AFTER_DRAIN_START)}
     played = DrainingStream(shape, engines)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert played.firsts == ["a"]
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
 
@@ -107,14 +107,14 @@
 def test_stream_that_may_have_run_is_reported_as_unknown(shape):
     lost = Engine(accepts_after=AFTER_DRAIN_START, pause_after=0, breaks=True)
     played = DrainingStream(shape, {"a": lost})
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert played.firsts == ["a"]
     assert ended.outcome is Outcome.UNKNOWN
 
 
 def test_started_answer_is_resumed_on_another_path(shape):
     played = DrainingStream(shape, {"a": Engine(pause_after=5, breaks=True)})
-    assert play(played.serve()) is None
+    assert run_virtual(played.serve()) is None
     assert played.firsts == ["a", "c"]
     assert played.caller.body == whole_answer()
 
@@ -129,7 +129,7 @@
     played = DrainingStream(
         shape, engines, connect_seconds=connect_seconds, drain_starts_at=drain_starts_at
     )
-    play(played.serve((AFTER_DRAIN_START, played.declare_dead("b"))))
+    run_virtual(played.serve((AFTER_DRAIN_START, played.declare_dead("b"))))
     assert played.firsts == ["a"]
     assert played.caller.body == whole_answer()
 
@@ -153,7 +153,7 @@
         sending = job.sending("a", "a:1", path, played.clock(), "")
         return await sender.send(job, sending, fresh=True)
 
-    assert play(test()) == NotSent(Unsent.LEAVING)
+    assert run_virtual(test()) == NotSent(Unsent.LEAVING)
     assert made.closed
 
 
@@ -177,21 +177,21 @@
 
 def test_stream_refused_while_draining_does_not_suspect_the_endpoint(shape):
     played = LateStream(shape, {})
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
     assert played.routing_state.suspects.excluded(0.0) == set()
 
 
 def test_call_refused_while_draining_does_not_suspect_the_endpoint():
     played = LateCall()
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
     assert played.routing_state.suspects.excluded(0.0) == set()
 
 
 def test_rejected_call_is_not_sent_again_by_a_draining_entry():
     played = DrainingCall(status=REJECTED)
-    ended = play(played.serve())
+    ended = run_virtual(played.serve())
     assert len(played.sends) == 1
     assert (ended.kind, ended.outcome) == (ErrorKind.DRAINING, Outcome.NOT_RUN)
 
@@ -203,14 +203,14 @@
         ended = await played.serve()
         return ended, played.clock()
 
-    ended, ended_at = play(test())
+    ended, ended_at = run_virtual(test())
     assert ended.kind is ErrorKind.DRAINING
     assert ended_at <= DRAIN_STARTS_AT + 2 * RETRY_PERIOD
 
 
 def test_slow_call_is_not_abandoned_for_one_that_may_not_be_sent():
     played = DrainingCall()
-    assert isinstance(play(played.serve()), WholeAnswer)
+    assert isinstance(run_virtual(played.serve()), WholeAnswer)
     assert len(played.sends) == 1
 
 
@@ -224,6 +224,6 @@
         await entry_with(refuses, LogRecorder()).serve(caller)
         return caller
 
-    caller = play(test())
+    caller = run_virtual(test())
     assert caller.status == 503
     assert float(caller.headers["Retry-After"]) == OTHER_ENTRY_READY_IN
--- a/packages/relay/tests/relay/test_sigterm.py
+++ b/packages/relay/tests/relay/test_sigterm.py
@@ -32,7 +32,7 @@
         entry = SimpleNamespace(
             readiness=readiness,
             clock=lambda: NOW,
-            watch=SimpleNamespace(previous_look=BEFORE),
+            watch=SimpleNamespace(previous_tick=BEFORE),
             ingress=SimpleNamespace(
                 start_drain=readiness.start_drain, log_drain_start=log_drain_start
             ),
@@ -49,7 +49,7 @@
         )
         entry._leave = lambda: "drain"
         entry._start = entry.started.append
-        entry._tell_peers = lambda: entry.notified.append(entry.readiness.draining)
+        entry._notify_peers = lambda: entry.notified.append(entry.readiness.draining)
         return entry
 
     return make
@@ -88,7 +88,7 @@
     if draining:
         Application._on_term(entry)
     last = entry.readiness.drain_deadline
-    Application._on_thaw(entry, 2.0)
+    Application._on_resume(entry, 2.0)
     assert entry.readiness.drain_deadline == pytest.approx(last - counted)
 
 
--- a/packages/relay/tests/relay/test_staleness.py
+++ b/packages/relay/tests/relay/test_staleness.py
@@ -21,7 +21,7 @@
 from lacewingcourse.relay.routing_state import RoutingState
 from lacewingcourse.relay.staleness import MAX_POLLS, POLL_INTERVAL, StalenessGuard
 
-from .virtual_time import play
+from .virtual_time import run_virtual
 
 #: Age in seconds above which the configuration is stale, and an age above it.
 LIMIT = 1.2
@@ -90,7 +90,7 @@
             host="h",
             path=path,
             key=None,
-            patience=None,
+            timeout=None,
             received_at=loop.time(),
         )
         if confirmed is not None:
@@ -99,7 +99,7 @@
         result = await gateway._resolve_job(caller, request)
         return result, loop.time() - began_at
 
-    return play(resolved())
+    return run_virtual(resolved())
 
 
 def test_unknown_route_is_refused_at_once_when_configuration_is_current():
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -41,7 +41,7 @@
         self.found = found
         self.probed: list[str] = []
 
-    async def report(self, address: str, patience: float):
+    async def report(self, address: str, timeout: float):
         self.probed.append(address)
         return self.found
 
@@ -73,7 +73,7 @@
         finder = SimpleNamespace(
             is_idle=lambda job, avoid: idle, unused_address=lambda besides: unused
         )
-        log = SimpleNamespace(belief=lambda event, **fields: events.append(event))
+        log = SimpleNamespace(log_event=lambda event, **fields: events.append(event))
         return StallWatcher(
             Reports(found),
             suspects,
@@ -213,7 +213,7 @@
         self.dead = dead
         self.probed: list[str] = []
 
-    async def report(self, address: str, patience: float):
+    async def report(self, address: str, timeout: float):
         self.probed.append(address)
         if address == self.dead:
             await asyncio.Event().wait()
@@ -283,7 +283,7 @@
         self.dead = dead
         self.probed: list[str] = []
 
-    async def report(self, address: str, patience: float):
+    async def report(self, address: str, timeout: float):
         self.probed.append(address)
         await asyncio.sleep(0)
         return Unavailable("refused") if address == self.dead else EngineReport()
@@ -303,7 +303,7 @@
     watcher = make_watcher(None)
     answers = [Unavailable("reset"), EngineReport()]
 
-    async def report(address: str, patience: float):
+    async def report(address: str, timeout: float):
         return answers.pop(0)
 
     watcher.reports = SimpleNamespace(report=report)
@@ -325,7 +325,7 @@
 
 
 def test_the_pace_that_an_endpoint_reports_is_recorded(make_watcher):
-    watcher = make_watcher(EngineReport(pace=5.0))
+    watcher = make_watcher(EngineReport(slowdown=5.0))
     job = make_job(path_of("a"))
     check_after_silence(watcher, job, 0.13)
     assert watcher.speeds.of("a", 0.1) == 5.0
@@ -333,7 +333,7 @@
 
 
 def test_a_slow_endpoint_is_probed_again_while_streams_use_it(make_watcher):
-    watcher = make_watcher(EngineReport(pace=5.0))
+    watcher = make_watcher(EngineReport(slowdown=5.0))
     watcher.speeds.tell("a", 5.0, now=0.0)
     job = make_job(path_of("a", "b"))
     later = ESTIMATE_KEPT - ASK_AGAIN + 0.1
--- a/packages/relay/tests/relay/test_version_changes.py
+++ b/packages/relay/tests/relay/test_version_changes.py
@@ -68,7 +68,7 @@
         service="rooms",
         caller=SimpleNamespace(response_started=begun),
         avoid=set(),
-        request=SimpleNamespace(prompt=1_000, answer_hint=None, most_answer=0),
+        request=SimpleNamespace(prompt=1_000, answer_hint=None, max_answer_tokens=0),
         allowed_endpoints=None,
         limited=set(),
     )
@@ -137,7 +137,7 @@
     def clock(self) -> float:
         return self.now
 
-    async def report(self, address: str, patience: float) -> EngineReport:
+    async def report(self, address: str, timeout: float) -> EngineReport:
         if self.blocks and self.now == 0.0:
             time.sleep(SECOND_PROBE_DELAY + CHECK_PERIOD / 4)
             self.now = SECOND_PROBE_DELAY + CHECK_PERIOD / 2
