--- a/packages/bench/src/lacewingcourse/bench/pipeline_play.py
+++ b/packages/bench/src/lacewingcourse/bench/pipeline_play.py
@@ -307,7 +307,7 @@
         for part in path.parts:
             kind = self._kind(part.endpoint)
             busy = self.reading_until.get(part.endpoint, 0.0)
-            took = self.shape.read_time(kind, len(part.layers), tokens) / 1000
+            took = self.shape.prefill_ms(kind, len(part.layers), tokens) / 1000
             ready = max(ready, busy) + took
             self.reading_until[part.endpoint] = ready
         for pair in path.crossings:
@@ -357,7 +357,7 @@
                 used[part.endpoint] = used.get(part.endpoint, 0.0) + cells
         for name, cells in used.items():
             endpoint = self.endpoints[name]
-            room = self.shape.room(self._kind(name), len(endpoint.layers))
+            room = self.shape.kv_capacity(self._kind(name), len(endpoint.layers))
             if cells > room:
                 self._stop_newest(name, cells - room, now)
 
@@ -395,7 +395,7 @@
         for part in path.parts:
             running = self.loads.of(part.endpoint).requests
             kind = self._kind(part.endpoint)
-            total += self.shape.step_time(kind, len(part.layers), running)
+            total += self.shape.decode_step_ms(kind, len(part.layers), running)
             total += LOCAL_HOP_MS
         return total / 1000
 
--- a/packages/core/src/lacewingcourse/core/pipelines/capacity.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/capacity.py
@@ -133,5 +133,5 @@
             chooser.endpoints[part.endpoint].accelerator
         ]
         span = len(part.layers)
-        total += chooser.shape.read_time(accelerator, span, demand.prompt)
+        total += chooser.shape.prefill_ms(accelerator, span, demand.prompt)
     return total
--- a/packages/core/src/lacewingcourse/core/pipelines/choice.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/choice.py
@@ -253,7 +253,7 @@
         # A version may have dropped the kind while requests still run on it.
         if accelerator is None:
             return float("inf")
-        room = self.shape.room(accelerator, len(endpoint.layers))
+        room = self.shape.kv_capacity(accelerator, len(endpoint.layers))
         taken = self.loads.of(part.endpoint).cells
         return (taken + demand.tokens * len(part.layers)) / max(room, 1.0)
 
--- a/packages/core/src/lacewingcourse/core/pipelines/copies.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/copies.py
@@ -49,8 +49,8 @@
         tokens: Tokens, each of which takes memory in every held layer.
     """
     accelerator = shape.accelerators[endpoint.accelerator]
-    layer_mb = shape.layer_mb + tokens * shape.cell_bytes / MEGABYTE
-    return min(shape.most_layers(accelerator), int(accelerator.memory_mb // layer_mb))
+    layer_mb = shape.layer_mb + tokens * shape.token_layer_bytes / MEGABYTE
+    return min(shape.max_layers(accelerator), int(accelerator.memory_mb // layer_mb))
 
 
 def slowness(endpoint: Endpoint, shape: EngineShape) -> float:
@@ -76,7 +76,7 @@
 
     Yields where the search may be interrupted.
     """
-    usual = shape.usual_tokens
+    usual = shape.mean_request_tokens
     ordered = sorted(endpoints, key=lambda e: (slowness(e, shape), e.address))
     found: dict[tuple[Assignment, ...], None] = {}
     for share in ROOM_SHARES:
@@ -173,7 +173,7 @@
     """
     low, high = copy.tokens, most
     best = _fill(copy.members, shape, low)
-    while high - low > shape.usual_tokens / 4:
+    while high - low > shape.mean_request_tokens / 4:
         middle = (low + high) / 2
         found = _fill(copy.members, shape, middle)
         if found:
--- a/packages/core/src/lacewingcourse/core/pipelines/fleet.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/fleet.py
@@ -80,7 +80,7 @@
         if self.layers is None:
             return True
         possible = 0 <= self.layers.start < self.layers.end <= shape.layers
-        return possible and len(self.layers) <= shape.most_layers(accelerator)
+        return possible and len(self.layers) <= shape.max_layers(accelerator)
 
     def is_outdated(self, known: Endpoint) -> bool:
         """Tell whether this entry was written before another one of the endpoint.
--- a/packages/core/src/lacewingcourse/core/pipelines/layer_memory.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/layer_memory.py
@@ -37,7 +37,7 @@
             continue
         held = len(endpoint.layers)
         accelerator = shape.accelerators[endpoint.accelerator]
-        tokens = shape.room(accelerator, held) / held * weight(accelerator)
+        tokens = shape.kv_capacity(accelerator, held) / held * weight(accelerator)
         for layer in range(endpoint.layers.start, endpoint.layers.end):
             total[layer] += tokens
     return total
--- a/packages/core/src/lacewingcourse/core/pipelines/layout.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/layout.py
@@ -84,7 +84,7 @@
     zones: dict[str, list[Endpoint]] = defaultdict(list)
     for endpoint in sorted(known, key=lambda e: (e.zone, e.address)):
         zones[endpoint.zone].append(endpoint)
-    least = LEAST_REQUESTS * shape.usual_tokens
+    least = LEAST_REQUESTS * shape.mean_request_tokens
     large: list[list[Endpoint]] = []
     pool: list[Endpoint] = []
     for members in zones.values():
@@ -258,7 +258,7 @@
 
 def _cover(endpoint: Endpoint, gap: Layers, shape: EngineShape) -> int:
     """Return how many layers of a gap an endpoint can take."""
-    least = LEAST_REQUESTS * shape.usual_tokens
+    least = LEAST_REQUESTS * shape.mean_request_tokens
     return min(len(gap), span_for(endpoint, shape, least))
 
 
@@ -271,12 +271,12 @@
     """
     span = span_for(endpoint, shape, _usual_room(holding, shape))
     span = max(span, 1)
-    if shape.most_layers(shape.accelerators[endpoint.accelerator]) < span:
+    if shape.max_layers(shape.accelerators[endpoint.accelerator]) < span:
         return None
     capacity = token_capacity(holding, shape)
     gap = _longest_gap(capacity)
     if gap is not None:
-        least = span_for(endpoint, shape, LEAST_REQUESTS * shape.usual_tokens)
+        least = span_for(endpoint, shape, LEAST_REQUESTS * shape.mean_request_tokens)
         span = max(1, min(least, len(gap)))
         return Assignment(endpoint.id, Layers(gap.start, gap.start + span))
     strength = layer_strength(holding, shape)
@@ -292,10 +292,11 @@
     more memory than the copy can use.
     """
     rooms = sorted(
-        shape.room(shape.accelerators[e.accelerator], len(e.layers)) / len(e.layers)
+        shape.kv_capacity(shape.accelerators[e.accelerator], len(e.layers))
+        / len(e.layers)
         for e in holding
     )
-    least = LEAST_REQUESTS * shape.usual_tokens
+    least = LEAST_REQUESTS * shape.mean_request_tokens
     return max(least, rooms[len(rooms) // 4]) if rooms else least
 
 
--- a/packages/core/src/lacewingcourse/core/pipelines/path.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/path.py
@@ -276,7 +276,7 @@
             if not layers.start <= position < layers.end:
                 continue
             kind = self.kinds[endpoint.id]
-            layer_ms = self.shape.step_time(kind, 1, TYPICAL_RUNNING)
+            layer_ms = self.shape.decode_step_ms(kind, 1, TYPICAL_RUNNING)
             after = bisect_right(starts, position)
             ends = (*starts[after : bisect_left(starts, layers.end)], layers.end)
             times = tuple((end, (end - position) * layer_ms) for end in ends)
@@ -302,7 +302,7 @@
             total += LOCAL_HOP_MS if part.zone == zone else CROSSING_MS
             zone = part.zone
             kind = self.kinds[part.endpoint]
-            total += self.shape.step_time(kind, len(part.layers), 1.0)
+            total += self.shape.decode_step_ms(kind, len(part.layers), 1.0)
         return total
 
 
--- a/packages/core/src/lacewingcourse/core/pipelines/path_figures.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/path_figures.py
@@ -70,12 +70,12 @@
     if endpoint is None or endpoint.layers is None:
         return PartFigures(part.endpoint, span, 0.0, 0.0, 0.0, 0.0)
     accelerator = shape.accelerators[endpoint.accelerator]
-    alone = shape.step_time(accelerator, span, 1.0)
+    alone = shape.decode_step_ms(accelerator, span, 1.0)
     return PartFigures(
         endpoint=part.endpoint,
         span=span,
-        room=max(shape.room(accelerator, len(endpoint.layers)), 1.0),
+        room=max(shape.kv_capacity(accelerator, len(endpoint.layers)), 1.0),
         step_ms=alone,
-        request_ms=shape.step_time(accelerator, span, 2.0) - alone,
-        read_ms=shape.read_time(accelerator, span, 1),
+        request_ms=shape.decode_step_ms(accelerator, span, 2.0) - alone,
+        read_ms=shape.prefill_ms(accelerator, span, 1),
     )
--- a/packages/core/src/lacewingcourse/core/pipelines/rating.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/rating.py
@@ -37,7 +37,9 @@
         requests += held
     if not requests:
         return 0.0
-    weakest = ROOM_SHARE * min(token_capacity(placed, shape)) / shape.usual_tokens
+    weakest = (
+        ROOM_SHARE * min(token_capacity(placed, shape)) / shape.mean_request_tokens
+    )
     return rate * weakest / requests
 
 
@@ -45,8 +47,8 @@
     """Return the usual requests for which an endpoint has room in each layer."""
     held = len(endpoint.layers)
     accelerator = shape.accelerators[endpoint.accelerator]
-    tokens = ROOM_SHARE * shape.room(accelerator, held) / held
-    return tokens / shape.usual_tokens
+    tokens = ROOM_SHARE * shape.kv_capacity(accelerator, held) / held
+    return tokens / shape.mean_request_tokens
 
 
 def _milliseconds(members: list[Endpoint], held: float, shape: EngineShape) -> float:
@@ -54,7 +56,7 @@
     total = 0.0
     for endpoint in members:
         kind, span = shape.accelerators[endpoint.accelerator], len(endpoint.layers)
-        token_ms = shape.step_time(kind, span, held + 1.0) + LOCAL_HOP_MS
+        token_ms = shape.decode_step_ms(kind, span, held + 1.0) + LOCAL_HOP_MS
         total += token_ms * shape.usual_answer
-        total += shape.read_time(kind, span, shape.usual_prompt)
+        total += shape.prefill_ms(kind, span, shape.usual_prompt)
     return total
--- a/packages/core/src/lacewingcourse/core/pipelines/shape.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/shape.py
@@ -89,20 +89,20 @@
     event_tokens: int = 1
 
     @property
-    def cell_bytes(self) -> float:
+    def token_layer_bytes(self) -> float:
         """Bytes that one token takes in one layer."""
         return self.token_bytes / self.layers
 
     @property
-    def usual_tokens(self) -> int:
+    def mean_request_tokens(self) -> int:
         """Tokens of a usual request, prompt and answer."""
         return self.usual_prompt + self.usual_answer
 
-    def most_layers(self, accelerator: Accelerator) -> int:
+    def max_layers(self, accelerator: Accelerator) -> int:
         """Return how many layers an accelerator's memory can hold."""
         return min(self.layers, int(accelerator.memory_mb // self.layer_mb))
 
-    def room(self, accelerator: Accelerator, held: int) -> float:
+    def kv_capacity(self, accelerator: Accelerator, held: int) -> float:
         """Return the memory left for requests, in tokens times layers.
 
         Args:
@@ -110,7 +110,7 @@
             held: Layers that it holds.
         """
         free_mb = accelerator.memory_mb - held * self.layer_mb
-        return max(0.0, free_mb * MEGABYTE / self.cell_bytes)
+        return max(0.0, free_mb * MEGABYTE / self.token_layer_bytes)
 
     def transfer_seconds(self, tokens: int) -> float:
         """Return the seconds for which a prompt takes a pipe between zones."""
@@ -118,7 +118,9 @@
             return 0.0
         return tokens * self.activation_bytes * 8 / (self.pipe_mbps * MEGABYTE)
 
-    def step_time(self, accelerator: Accelerator, span: int, running: float) -> float:
+    def decode_step_ms(
+        self, accelerator: Accelerator, span: int, running: float
+    ) -> float:
         """Return the milliseconds of a token's step on a part of the layers.
 
         Args:
@@ -126,11 +128,11 @@
             span: Layers that the part runs.
             running: Requests that write in the same step.
         """
-        context = self.context_ms * self.usual_tokens / 1000
-        whole = self.step_ms + running * (self.sequence_ms + context)
-        return whole * accelerator.step_factor * span / self.layers
+        context = self.context_ms * self.mean_request_tokens / 1000
+        all_layers_ms = self.step_ms + running * (self.sequence_ms + context)
+        return all_layers_ms * accelerator.step_factor * span / self.layers
 
-    def read_time(self, accelerator: Accelerator, span: int, tokens: int) -> float:
+    def prefill_ms(self, accelerator: Accelerator, span: int, tokens: int) -> float:
         """Return the milliseconds in which a part of the layers reads a prompt."""
-        whole = tokens / self.read_tokens_per_ms
-        return whole * accelerator.read_factor * span / self.layers
+        all_layers_ms = tokens / self.read_tokens_per_ms
+        return all_layers_ms * accelerator.read_factor * span / self.layers
--- a/packages/core/tests/pipelines/test_capacity.py
+++ b/packages/core/tests/pipelines/test_capacity.py
@@ -11,7 +11,7 @@
     """Return the endpoints with equal parts of the layers, in order of their names."""
     held, position = [], 0
     for endpoint in endpoints:
-        most = shape.most_layers(KINDS[endpoint.accelerator])
+        most = shape.max_layers(KINDS[endpoint.accelerator])
         span = min(10, most, shape.layers - position)
         held.append(holding(endpoint, position, position + span))
         position = (position + span) % shape.layers
@@ -31,7 +31,7 @@
     members = sorted(make_fleet(), key=lambda e: KINDS[e.accelerator].step_factor)
     held, position = [], 0
     for endpoint in members:
-        most = shape.most_layers(KINDS[endpoint.accelerator])
+        most = shape.max_layers(KINDS[endpoint.accelerator])
         span = min(most, shape.layers - position)
         held.append(holding(endpoint, position, position + span))
         position = (position + span) % shape.layers
--- a/packages/core/tests/pipelines/test_choice.py
+++ b/packages/core/tests/pipelines/test_choice.py
@@ -47,7 +47,7 @@
     assert refusal.kind is ErrorKind.OVERLOADED
     for endpoint in fleet:
         kind = shape.accelerators[endpoint.accelerator]
-        room = shape.room(kind, len(endpoint.layers))
+        room = shape.kv_capacity(kind, len(endpoint.layers))
         assert chooser.loads.of(endpoint.id).cells <= room * ROOM_SHARE
     assert len(taken) > 100
 
--- a/packages/core/tests/pipelines/test_copies.py
+++ b/packages/core/tests/pipelines/test_copies.py
@@ -102,7 +102,7 @@
     fleet = group(SCARCE, "east")
     kinds = {e.id: SMALL.accelerators[e.accelerator] for e in fleet}
     for assignment in plan_layout(fleet, SMALL):
-        most = SMALL.most_layers(kinds[assignment.endpoint])
+        most = SMALL.max_layers(kinds[assignment.endpoint])
         assert 0 < len(assignment.layers) <= most
 
 
--- a/packages/core/tests/pipelines/test_layout.py
+++ b/packages/core/tests/pipelines/test_layout.py
@@ -30,7 +30,7 @@
 
 
 def test_every_layer_has_memory_for_the_least_number_of_requests(fleet, shape):
-    least = LEAST_REQUESTS * shape.usual_tokens
+    least = LEAST_REQUESTS * shape.mean_request_tokens
     assert min(token_capacity(fleet, shape)) >= 3 * least
 
 
@@ -69,7 +69,7 @@
     members = [make_endpoint(f"{z}{i}", "large", z) for z in "xy" for i in range(2)]
     for zone in "xy":
         alone = [e for e in members if e.zone == zone]
-        least = LEAST_REQUESTS * shape.usual_tokens
+        least = LEAST_REQUESTS * shape.mean_request_tokens
         assert sum(span_for(e, shape, least) for e in alone) < shape.layers
     assert min(token_capacity(placed(members, shape), shape)) > 0
 
@@ -90,7 +90,7 @@
 
 def best_token_ms(members, shape):
     """Return the least time of a token over all ways to cut the layers."""
-    least = LEAST_REQUESTS * shape.usual_tokens
+    least = LEAST_REQUESTS * shape.mean_request_tokens
     best = float("inf")
     for chosen in itertools.permutations(members):
         for spans in cuts([span_for(e, shape, least) for e in chosen], shape.layers):
