--- a/packages/bench/src/lacewingcourse/bench/path_choices.py
+++ b/packages/bench/src/lacewingcourse/bench/path_choices.py
@@ -16,7 +16,7 @@
 from lacewingcourse.core.pipelines.choice import LOOKED_AT, Demand, PathChooser
 from lacewingcourse.core.pipelines.layout import search_layout
 from lacewingcourse.core.pipelines.links import LinkUsage
-from lacewingcourse.core.pipelines.load import LoadBook
+from lacewingcourse.core.pipelines.load import LoadTable
 from lacewingcourse.core.pipelines.path import candidate_paths
 
 if TYPE_CHECKING:
@@ -139,7 +139,7 @@
     rates = {}
     for name, looked_at in (("drawn", LOOKED_AT), ("all", len(paths))):
         rng = random.Random(seed)
-        chooser = PathChooser(plan.shape, known, LoadBook(), LinkUsage())
+        chooser = PathChooser(plan.shape, known, LoadTable(), LinkUsage())
         chooser.looked_at = looked_at
         half_full(chooser, paths, rng)
         values = choice_times(chooser, paths, rng)
--- a/packages/bench/src/lacewingcourse/bench/pipeline_play.py
+++ b/packages/bench/src/lacewingcourse/bench/pipeline_play.py
@@ -21,7 +21,7 @@
 from lacewingcourse.core.pipelines.choice import Demand, PathChooser
 from lacewingcourse.core.pipelines.layout import plan_layout
 from lacewingcourse.core.pipelines.links import LinkUsage
-from lacewingcourse.core.pipelines.load import LoadBook
+from lacewingcourse.core.pipelines.load import LoadTable
 from lacewingcourse.core.pipelines.path import LOCAL_HOP_MS, Path, candidate_paths
 from lacewingcourse.core.registry import Registry
 
@@ -67,7 +67,7 @@
     """Choose the path whose fullest part runs the fewest requests."""
 
     def most(path):
-        return max(chooser.loads.of(part.endpoint).requests for part in path.parts)
+        return max(chooser.loads.get(part.endpoint).requests for part in path.parts)
 
     return min(paths, key=lambda path: (most(path), rng.random()))
 
@@ -187,7 +187,7 @@
         self.seconds = seconds
         self.last = seconds + PATIENCE
         self.rng = random.Random(seed)
-        self.loads = LoadBook()
+        self.loads = LoadTable()
         self.links = LinkUsage()
         self.streams: list[Stream] = []
         self.running: list[Stream] = []
@@ -393,7 +393,7 @@
     def _token_seconds(self, path: Path) -> float:
         total = 0.0
         for part in path.parts:
-            running = self.loads.of(part.endpoint).requests
+            running = self.loads.get(part.endpoint).requests
             kind = self._kind(part.endpoint)
             total += self.shape.decode_step_ms(kind, len(part.layers), running)
             total += LOCAL_HOP_MS
--- a/packages/core/src/lacewingcourse/core/pipelines/capacity.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/capacity.py
@@ -10,7 +10,7 @@
 from lacewingcourse.core.pipelines.choice import Demand, PathChooser
 from lacewingcourse.core.pipelines.interruption import finish
 from lacewingcourse.core.pipelines.links import LinkUsage
-from lacewingcourse.core.pipelines.load import LoadBook
+from lacewingcourse.core.pipelines.load import LoadTable
 from lacewingcourse.core.pipelines.path import candidate_paths
 
 if TYPE_CHECKING:
@@ -96,7 +96,7 @@
     if not paths:
         return None
     demand = Demand(shape.usual_prompt, shape.usual_answer)
-    chooser = PathChooser(shape, {e.id: e for e in endpoints}, LoadBook(), LinkUsage())
+    chooser = PathChooser(shape, {e.id: e for e in endpoints}, LoadTable(), LinkUsage())
     taken = yield from _fill(chooser, paths, demand, rng)
     times = [chooser.predicted_ms(path, demand, now=0.0) for path in taken]
     return FleetBound(
--- a/packages/core/src/lacewingcourse/core/pipelines/choice.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/choice.py
@@ -18,7 +18,7 @@
 
     from lacewingcourse.core.pipelines.fleet import Endpoint
     from lacewingcourse.core.pipelines.links import LinkUsage
-    from lacewingcourse.core.pipelines.load import LoadBook
+    from lacewingcourse.core.pipelines.load import LoadTable
     from lacewingcourse.core.pipelines.path import Part, Path
     from lacewingcourse.core.pipelines.path_figures import PathFigures
     from lacewingcourse.core.pipelines.shape import EngineShape
@@ -96,7 +96,7 @@
 
     shape: EngineShape
     endpoints: dict[str, Endpoint]
-    loads: LoadBook
+    loads: LoadTable
     links: LinkUsage
     speeds: SpeedEstimator = attrs.field(factory=SpeedEstimator)
     looked_at: int = LOOKED_AT
@@ -190,7 +190,7 @@
         zones, so a path over it is taken when those within a zone are a good deal
         fuller.
         """
-        if self.loads.of(path.first.endpoint).leading >= self.shape.slots:
+        if self.loads.get(path.first.endpoint).first_part_requests >= self.shape.slots:
             return None
         found = self._time_and_fill(path, demand, now, share)
         if found is None:
@@ -214,7 +214,11 @@
         total, fullest = path.token_ms, 0.0
         for part in self._figures(path).parts:
             load = sums.get(part.endpoint, NO_LOAD)
-            fill = (load.cells + tokens * part.span) / part.room if part.room else 2.0
+            fill = (
+                (load.token_layers + tokens * part.span) / part.room
+                if part.room
+                else 2.0
+            )
             if fill > share:
                 return None
             if fill > fullest:
@@ -254,7 +258,7 @@
         if accelerator is None:
             return float("inf")
         room = self.shape.kv_capacity(accelerator, len(endpoint.layers))
-        taken = self.loads.of(part.endpoint).cells
+        taken = self.loads.get(part.endpoint).token_layers
         return (taken + demand.tokens * len(part.layers)) / max(room, 1.0)
 
     def _figures(self, path: Path) -> PathFigures:
@@ -268,7 +272,7 @@
 
 def choose_endpoint(
     endpoints: list[Endpoint],
-    loads: LoadBook,
+    loads: LoadTable,
     zone: str,
     avoid: Collection[str],
     rng: Random,
@@ -288,7 +292,7 @@
     usable = [endpoint for endpoint in endpoints if endpoint.id not in avoid]
     if not usable:
         return Refusal(ErrorKind.NO_ROUTE, "no endpoint serves the call")
-    taken = {e.id: loads.of(e.id).requests / max(1, e.slots) for e in usable}
+    taken = {e.id: loads.get(e.id).requests / max(1, e.slots) for e in usable}
     free = [e for e in usable if taken[e.id] < CALLS_PER_SLOT]
     if not free:
         return Refusal(ErrorKind.OVERLOADED, "every endpoint has a queue")
--- a/packages/core/src/lacewingcourse/core/pipelines/load.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/load.py
@@ -12,7 +12,7 @@
     from lacewingcourse.core.pipelines.path import Path
 
 #: Seconds for which the loads that a peer told are believed.
-PEER_LOADS_KEPT = 1.5
+PEER_LOADS_TTL = 1.5
 
 
 @attrs.define
@@ -26,19 +26,19 @@
     """
 
     requests: int = 0
-    leading: int = 0
-    cells: float = 0.0
+    first_part_requests: int = 0
+    token_layers: float = 0.0
 
     def add(self, other: Load, sign: int = 1) -> None:
         """Add another load to this one, or take it away."""
         self.requests += sign * other.requests
-        self.leading += sign * other.leading
-        self.cells += sign * other.cells
+        self.first_part_requests += sign * other.first_part_requests
+        self.token_layers += sign * other.token_layers
 
     @property
     def idle(self) -> bool:
         """Whether nothing runs."""
-        return not (self.requests or self.leading or self.cells)
+        return not (self.requests or self.first_part_requests or self.token_layers)
 
 
 #: The load of an endpoint on which nothing runs; never changed.
@@ -46,7 +46,7 @@
 
 
 @attrs.define
-class LoadBook:
+class LoadTable:
     """The load that this entry put on each endpoint, and what its peers told.
 
     Entries are the only callers, so the sum over them is the load, but for the time
@@ -67,11 +67,11 @@
 
     def begin(self, path: Path, tokens: int) -> None:
         """Note a request on a path."""
-        self._change(path, tokens, 1)
+        self._apply_request(path, tokens, 1)
 
     def end(self, path: Path, tokens: int) -> None:
         """Note the end of a request that had begun with the same arguments."""
-        self._change(path, tokens, -1)
+        self._apply_request(path, tokens, -1)
 
     def begin_call(self, endpoint: str) -> None:
         """Note a call of a plain service."""
@@ -103,28 +103,30 @@
         Args:
             included: Tells of a name under which loads are kept whether they count.
         """
-        left_out = [peer for peer in self.peers if not included(peer)]
-        if 2 * len(left_out) > len(self.peers):
-            books = [loads for peer, (_, loads) in self.peers.items() if included(peer)]
-            return _summed(self.own, books, 1)
-        return _summed(self.sums, [self.peers[peer][1] for peer in left_out], -1)
+        excluded = [peer for peer in self.peers if not included(peer)]
+        if 2 * len(excluded) > len(self.peers):
+            counted = [
+                loads for peer, (_, loads) in self.peers.items() if included(peer)
+            ]
+            return _sum_loads(self.own, counted, 1)
+        return _sum_loads(self.sums, [self.peers[peer][1] for peer in excluded], -1)
 
     def expire(self, now: float) -> list[str]:
         """Forget peers that have been silent for too long; return their names."""
         silent = [
             peer
-            for peer, (told_at, _) in self.peers.items()
-            if now - told_at > PEER_LOADS_KEPT
+            for peer, (received_at, _) in self.peers.items()
+            if now - received_at > PEER_LOADS_TTL
         ]
         for peer in silent:
             self.forget(peer)
         return silent
 
-    def of(self, endpoint: str) -> Load:
+    def get(self, endpoint: str) -> Load:
         """Return the load of an endpoint over all entries."""
         return self.sums.get(endpoint, NO_LOAD)
 
-    def _change(self, path: Path, tokens: int, sign: int) -> None:
+    def _apply_request(self, path: Path, tokens: int, sign: int) -> None:
         for index, part in enumerate(path.parts):
             load = Load(1, int(index == 0), tokens * len(part.layers))
             self._add_own(part.endpoint, load, sign)
@@ -134,28 +136,28 @@
         _add_to(self.sums, endpoint, load, sign)
 
 
-def _summed(
+def _sum_loads(
     first: dict[str, Load], others: list[dict[str, Load]], sign: int
 ) -> dict[str, Load]:
     """Return loads with some others added, or taken away; without idle endpoints."""
     found = dict(first)
-    changed = {endpoint for book in others for endpoint in book}
+    changed = {endpoint for loads in others for endpoint in loads}
     for endpoint in changed:
         load = Load()
         load.add(first.get(endpoint, NO_LOAD))
-        for book in others:
-            load.add(book.get(endpoint, NO_LOAD), sign)
+        for loads in others:
+            load.add(loads.get(endpoint, NO_LOAD), sign)
         found[endpoint] = load
         if load.idle:
             del found[endpoint]
     return found
 
 
-def _add_to(book: dict[str, Load], endpoint: str, load: Load, sign: int) -> None:
+def _add_to(loads: dict[str, Load], endpoint: str, load: Load, sign: int) -> None:
     """Add a load to the one of an endpoint, or take it away."""
-    known = book.get(endpoint)
+    known = loads.get(endpoint)
     if known is None:
-        known = book[endpoint] = Load()
+        known = loads[endpoint] = Load()
     known.add(load, sign)
     if known.idle:
-        del book[endpoint]
+        del loads[endpoint]
--- a/packages/core/tests/pipelines/test_choice.py
+++ b/packages/core/tests/pipelines/test_choice.py
@@ -17,7 +17,7 @@
     choose_endpoint,
 )
 from lacewingcourse.core.pipelines.links import LinkUsage
-from lacewingcourse.core.pipelines.load import Load, LoadBook
+from lacewingcourse.core.pipelines.load import Load, LoadTable
 from lacewingcourse.core.pipelines.path import candidate_paths
 
 from .conftest import make_endpoint, make_five_zones, placed
@@ -27,7 +27,7 @@
 
 def chooser_of(fleet, shape):
     """Return what chooses over an idle fleet."""
-    return PathChooser(shape, {e.id: e for e in fleet}, LoadBook(), LinkUsage())
+    return PathChooser(shape, {e.id: e for e in fleet}, LoadTable(), LinkUsage())
 
 
 def filled(chooser, paths, rng):
@@ -48,7 +48,7 @@
     for endpoint in fleet:
         kind = shape.accelerators[endpoint.accelerator]
         room = shape.kv_capacity(kind, len(endpoint.layers))
-        assert chooser.loads.of(endpoint.id).cells <= room * ROOM_SHARE
+        assert chooser.loads.get(endpoint.id).token_layers <= room * ROOM_SHARE
     assert len(taken) > 100
 
 
@@ -65,7 +65,7 @@
     paths = candidate_paths(fleet, shape)
     for _ in range(60):
         chooser.loads.begin(chooser.choose(paths, DEMAND, (), rng, 0.0), DEMAND.tokens)
-    fastest = chooser.loads.of(paths[0].first.endpoint)
+    fastest = chooser.loads.get(paths[0].first.endpoint)
     assert 0 < fastest.requests < 40
 
 
@@ -97,11 +97,11 @@
     """The loads of a fleet, counting the paths that were looked at by their firsts."""
 
     def __init__(self) -> None:
-        self.loads, self.looks = LoadBook(), 0
+        self.loads, self.looks = LoadTable(), 0
 
-    def of(self, endpoint):
+    def get(self, endpoint):
         self.looks += 1
-        return self.loads.of(endpoint)
+        return self.loads.get(endpoint)
 
     @property
     def sums(self):
@@ -181,23 +181,23 @@
 
 
 def test_sums_of_loads_follow_each_change(fleet, shape):
-    loads = LoadBook()
+    loads = LoadTable()
     path, *_ = candidate_paths(fleet, shape)
     first = path.first.endpoint
     loads.begin(path, 900)
     loads.from_peer("b", {first: Load(2, 1, 50.0)}, now=0.0)
     loads.from_peer("b", {first: Load(3, 1, 70.0)}, now=1.0)
     cells = 900 * len(path.first.layers)
-    assert loads.of(first) == Load(4, 2, cells + 70.0)
+    assert loads.get(first) == Load(4, 2, cells + 70.0)
     loads.end(path, 900)
-    assert loads.of(first) == Load(3, 1, 70.0)
+    assert loads.get(first) == Load(3, 1, 70.0)
     loads.expire(now=10.0)
     assert loads.sums == {}
 
 
 @pytest.mark.parametrize("count", [0, 1, 3, 4])
 def test_a_sum_without_some_peers_is_the_sum_of_the_others(fleet, shape, count):
-    loads = LoadBook()
+    loads = LoadTable()
     paths = candidate_paths(fleet, shape)
     loads.begin(paths[0], 900)
     first = paths[0].first.endpoint
@@ -210,7 +210,7 @@
 
 
 def test_an_ended_request_leaves_no_load(fleet, shape):
-    loads = LoadBook()
+    loads = LoadTable()
     path, *_ = candidate_paths(fleet, shape)
     loads.begin(path, 900)
     loads.end(path, 900)
@@ -219,7 +219,7 @@
 
 def test_calls_go_where_the_smallest_share_of_slots_is_taken(rng):
     endpoints = [attrs.evolve(make_endpoint(f"e{i}", ""), slots=4) for i in range(3)]
-    loads = LoadBook()
+    loads = LoadTable()
     loads.begin_call("e0")
     loads.begin_call("e1")
     assert choose_endpoint(endpoints, loads, "east", (), rng).id == "e2"
@@ -228,12 +228,12 @@
 def test_calls_stay_in_the_zone_among_equals(rng):
     endpoints = [make_endpoint(f"e{z}", "", z) for z in ("east", "west")]
     for _ in range(10):
-        assert choose_endpoint(endpoints, LoadBook(), "west", (), rng).zone == "west"
+        assert choose_endpoint(endpoints, LoadTable(), "west", (), rng).zone == "west"
 
 
 def test_calls_are_refused_when_every_endpoint_has_a_queue(rng):
     endpoints = [attrs.evolve(make_endpoint("e0", ""), slots=2)]
-    loads = LoadBook()
+    loads = LoadTable()
     for _ in range(4):
         loads.begin_call("e0")
     found = choose_endpoint(endpoints, loads, "east", (), rng)
--- a/packages/core/tests/pipelines/test_speed.py
+++ b/packages/core/tests/pipelines/test_speed.py
@@ -6,7 +6,7 @@
 
 from lacewingcourse.core.pipelines.choice import Demand, PathChooser
 from lacewingcourse.core.pipelines.links import LinkUsage
-from lacewingcourse.core.pipelines.load import LoadBook
+from lacewingcourse.core.pipelines.load import LoadTable
 from lacewingcourse.core.pipelines.path import candidate_paths
 from lacewingcourse.core.pipelines.speed import (
     ASK_AGAIN,
@@ -71,7 +71,7 @@
     book = SpeedEstimator()
     book.tell("east1", 5.0, now=0.0)
     known = {endpoint.id: endpoint for endpoint in endpoints}
-    chooser = PathChooser(shape, known, LoadBook(), LinkUsage(), book)
+    chooser = PathChooser(shape, known, LoadTable(), LinkUsage(), book)
     paths = candidate_paths(endpoints, shape)
     rng = random.Random(1)
     for _ in range(10):
--- a/packages/relay/src/lacewingcourse/relay/beliefs.py
+++ b/packages/relay/src/lacewingcourse/relay/beliefs.py
@@ -11,7 +11,7 @@
 from lacewingcourse.core.pipelines.durations import Durations
 from lacewingcourse.core.pipelines.fleet import Fleet
 from lacewingcourse.core.pipelines.links import LinkUsage
-from lacewingcourse.core.pipelines.load import LoadBook
+from lacewingcourse.core.pipelines.load import LoadTable
 from lacewingcourse.core.pipelines.path import Path, candidate_paths
 from lacewingcourse.core.pipelines.routing import RoutingTable, is_newer
 from lacewingcourse.core.pipelines.send_limits import SendLimits
@@ -69,7 +69,7 @@
 
     table: RoutingTable | None = None
     fleet: Fleet = attrs.field(factory=Fleet)
-    loads: LoadBook = attrs.field(factory=LoadBook)
+    loads: LoadTable = attrs.field(factory=LoadTable)
     links: LinkUsage = attrs.field(factory=LinkUsage)
     suspects: Suspects = attrs.field(factory=Suspects)
     speeds: SpeedEstimator = attrs.field(factory=SpeedEstimator)
--- a/packages/relay/src/lacewingcourse/relay/gossip.py
+++ b/packages/relay/src/lacewingcourse/relay/gossip.py
@@ -111,7 +111,11 @@
             position_age=self.directory.freshness.age(boot_now),
             scope=scope,
             loads={
-                endpoint: (load.requests, load.leading, round(load.cells))
+                endpoint: (
+                    load.requests,
+                    load.first_part_requests,
+                    round(load.token_layers),
+                )
                 for endpoint, load in loads.items()
                 if load.requests
             },
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -59,7 +59,7 @@
     network.rounds(15)
     give_loads(network)
     network.rounds(6)
-    loads = [e.beliefs.loads.of("x").requests for e in network.entries.values()]
+    loads = [e.beliefs.loads.get("x").requests for e in network.entries.values()]
     assert loads == [len(network.entries)] * len(network.entries)
 
 
@@ -148,7 +148,7 @@
     assert {"b-02", "b-03"} <= hubs
     give_loads(large)
     large.rounds(6)
-    loads = {e.beliefs.loads.of("x").requests for e in large.entries.values()}
+    loads = {e.beliefs.loads.get("x").requests for e in large.entries.values()}
     assert loads == {26}
 
 
@@ -159,7 +159,7 @@
     assert set(large.roles().values()) == {Role.EQUAL}
     give_loads(large)
     large.rounds(6)
-    loads = {e.beliefs.loads.of("x").requests for e in large.entries.values()}
+    loads = {e.beliefs.loads.get("x").requests for e in large.entries.values()}
     assert loads == {8}
 
 
