--- a/packages/bench/src/lacewingcourse/bench/pipeline_play.py
+++ b/packages/bench/src/lacewingcourse/bench/pipeline_play.py
@@ -312,8 +312,8 @@
             self.reading_until[part.endpoint] = ready
         for pair in path.crossings:
             seconds = self.shape.transfer_seconds(tokens)
-            ready += seconds / max(0.05, 1.0 - self.links.use(pair, now))
-            self.links.add(pair, seconds, now)
+            ready += seconds / max(0.05, 1.0 - self.links.utilisation(pair, now))
+            self.links.record_transfer(pair, seconds, now)
         stream.ready_at = ready
         self.loads.begin(path, stream.demand.tokens)
         self.running.append(stream)
--- a/packages/core/src/lacewingcourse/core/pipelines/choice.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/choice.py
@@ -235,7 +235,7 @@
         transfer = self.shape.transfer_seconds(demand.prompt)
         factor = 1.0
         for pair in path.crossings:
-            use = self.links.use(pair, now)
+            use = self.links.utilisation(pair, now)
             if use + transfer > MAX_LINK_UTILISATION:
                 return float("inf")
             factor *= CROSSING_FACTOR / max(
--- a/packages/core/src/lacewingcourse/core/pipelines/path.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/path.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.links import ZonePair, pair_of
+from lacewingcourse.core.pipelines.links import ZonePair, zone_pair
 from lacewingcourse.core.pipelines.shape import Layers
 
 if TYPE_CHECKING:
@@ -93,7 +93,7 @@
     """Return the pairs of availability zones between which parts pass, in order."""
     zones = [part.zone for part in parts]
     steps = zip(zones, zones[1:], strict=False)
-    return tuple(pair_of(a, b) for a, b in steps if a != b)
+    return tuple(zone_pair(a, b) for a, b in steps if a != b)
 
 
 def is_whole(path: Path, layer_count: int) -> bool:
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -173,7 +173,7 @@
         """Note the time that a prompt takes on the links of its path."""
         for pair in path.crossings:
             seconds = state.shape.transfer_seconds(state.demand.prompt)
-            self.beliefs.links.add(pair, seconds, now)
+            self.beliefs.links.record_transfer(pair, seconds, now)
 
     async def _run(
         self, state: StreamState, path: Path, replacement: Replacement | None
