--- a/packages/core/src/lacewingcourse/core/pipelines/choice.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/choice.py
@@ -209,7 +209,7 @@
         None if a part has no memory for the request. This is the inner loop of every
         choice, so it walks the parts once.
         """
-        sums, slow = self.loads.sums, self.speeds.members
+        sums, slow = self.loads.sums, self.speeds.estimates
         tokens, prompt, answer = demand.tokens, demand.prompt, demand.answer
         total, fullest = path.token_ms, 0.0
         for part in self._figures(path).parts:
@@ -226,7 +226,7 @@
             step = part.step_ms + load.requests * part.request_ms
             time = step * answer + part.read_ms * prompt
             if part.endpoint in slow:
-                time *= self.speeds.of(part.endpoint, now)
+                time *= self.speeds.slowdown(part.endpoint, now)
             total += time
         return total, fullest
 
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -207,7 +207,7 @@
         elif self.on_start(part.name, found.born):
             self.restarted(part.endpoint)
         else:
-            self.speeds.tell(part.endpoint, found.pace, self.clock())
+            self.speeds.update(part.endpoint, found.pace, self.clock())
             self._take_report(part, found)
 
     async def _answer(
--- a/packages/relay/tests/relay/test_housekeeping.py
+++ b/packages/relay/tests/relay/test_housekeeping.py
@@ -9,7 +9,7 @@
 from lacewingcourse.core.pipelines.peers import PeerBook
 from lacewingcourse.core.pipelines.permits import PermitIssuer
 from lacewingcourse.core.pipelines.retry_budget import RetryBudget
-from lacewingcourse.core.pipelines.speed import ESTIMATE_KEPT
+from lacewingcourse.core.pipelines.speed import ESTIMATE_TTL
 from lacewingcourse.relay import housekeeping
 from lacewingcourse.relay.beliefs import Beliefs
 from lacewingcourse.relay.connections import ConnectionPool
@@ -32,11 +32,11 @@
 
 def test_what_is_over_is_forgotten(make_house):
     house = make_house()
-    house.beliefs.speeds.tell("e", 5.0, now=0.0)
+    house.beliefs.speeds.update("e", 5.0, now=0.0)
     house.beliefs.links.from_peer("b", {("east", "west"): 0.3})
     house.beliefs.loads.from_peer("b", {}, now=0.0)
-    house.forget(ESTIMATE_KEPT + 1.0)
-    assert house.beliefs.speeds.members == {}
+    house.forget(ESTIMATE_TTL + 1.0)
+    assert house.beliefs.speeds.estimates == {}
     assert house.beliefs.loads.peers == {}
     assert house.beliefs.links.peers == {}
 
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -9,7 +9,11 @@
 
 from lacewingcourse.core.pipelines.path import Part, Path
 from lacewingcourse.core.pipelines.shape import Layers
-from lacewingcourse.core.pipelines.speed import ASK_AGAIN, ESTIMATE_KEPT, SpeedEstimator
+from lacewingcourse.core.pipelines.speed import (
+    ESTIMATE_TTL,
+    REFRESH_MARGIN,
+    SpeedEstimator,
+)
 from lacewingcourse.core.pipelines.suspects import Suspects
 from lacewingcourse.relay.decoding import Undecodable
 from lacewingcourse.relay.ports import EngineReport, StalledRequest, Unavailable
@@ -326,15 +330,15 @@
     watcher = make_watcher(EngineReport(pace=5.0))
     job = make_job(path_of("a"))
     watched_until(watcher, job, 0.13)
-    assert watcher.speeds.of("a", 0.1) == 5.0
+    assert watcher.speeds.slowdown("a", 0.1) == 5.0
     assert job.current.arrivals.empty()
 
 
 def test_a_slow_endpoint_is_asked_again_while_streams_use_it(make_watcher):
     watcher = make_watcher(EngineReport(pace=5.0))
-    watcher.speeds.tell("a", 5.0, now=0.0)
+    watcher.speeds.update("a", 5.0, now=0.0)
     job = make_job(path_of("a", "b"))
-    later = ESTIMATE_KEPT - ASK_AGAIN + 0.1
+    later = ESTIMATE_TTL - REFRESH_MARGIN + 0.1
 
     async def run():
         watcher.begin(job, later)
