--- a/packages/core/src/lacewingcourse/core/pipelines/durations.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/durations.py
@@ -12,7 +12,7 @@
 #: Answers before which there is no estimate.
 MIN_SAMPLES = 8
 #: Share of the remembered answers that took no longer than is expected of the next.
-QUANTILE = 0.95
+UPPER_QUANTILE = 0.95
 #: Share of them that took no longer than a usual one.
 MEDIAN = 0.5
 
@@ -31,11 +31,11 @@
     first_events: dict[str, deque[float]] = attrs.field(factory=dict)
     event_intervals: dict[str, deque[float]] = attrs.field(factory=dict)
 
-    def note(self, route: str, seconds: float) -> None:
+    def record_answer(self, route: str, seconds: float) -> None:
         """Take how long a whole answer took."""
         _add(self.answers, route, seconds)
 
-    def note_stream(self, service: str, first_event: float, interval: float) -> None:
+    def record_stream(self, service: str, first_event: float, interval: float) -> None:
         """Take how a whole stream went.
 
         Args:
@@ -50,11 +50,11 @@
         """Return the seconds that nearly all answers take, None if few were seen."""
         return _quantile(self.answers, route)
 
-    def usual(self, route: str) -> float | None:
+    def median(self, route: str) -> float | None:
         """Return the seconds that a usual answer takes, None if few were seen."""
         return _quantile(self.answers, route, MEDIAN)
 
-    def rest_of_stream(
+    def remaining_stream_seconds(
         self, service: str, max_events: int, has_begun: bool
     ) -> float | None:
         """Return the seconds that a stream takes yet, None if few were seen.
@@ -77,7 +77,7 @@
 
 
 def _quantile(
-    samples: dict[str, deque[float]], name: str, share: float = QUANTILE
+    samples: dict[str, deque[float]], name: str, share: float = UPPER_QUANTILE
 ) -> float | None:
     """Return a quantile of the samples of a name, None if there are few."""
     found = sorted(samples.get(name, ()))
--- a/packages/relay/src/lacewingcourse/relay/endings.py
+++ b/packages/relay/src/lacewingcourse/relay/endings.py
@@ -93,7 +93,9 @@
         if shape is not None and max_answer:
             max_events = -(-max_answer // shape.event_tokens) - job.events
             has_begun = job.events > 0
-            rest = beliefs.durations.rest_of_stream(job.service, max_events, has_begun)
+            rest = beliefs.durations.remaining_stream_seconds(
+                job.service, max_events, has_begun
+            )
             if rest is not None:
                 return rest
         expected = beliefs.durations.expected(job.route.name)
--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -185,10 +185,10 @@
     def _note_duration(self, job: Job, now: float) -> None:
         """Note how long a whole answer took."""
         durations, received = self.beliefs.durations, job.request.received_at
-        durations.note(job.route.name, now - received)
+        durations.record_answer(job.route.name, now - received)
         if job.events > 1:
             interval = (job.progressed_at - job.first_at) / (job.events - 1)
-            durations.note_stream(job.service, job.first_at - received, interval)
+            durations.record_stream(job.service, job.first_at - received, interval)
 
     async def _wait_for_configuration(self, request: CallerRequest) -> None:
         """Hold a request that came before the first configuration did.
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -377,4 +377,4 @@
         draw = self.rng.random()
         if kind is ErrorKind.RETRIES_EXHAUSTED:
             return retry_after_denied(draw)
-        return retry_after(self.beliefs.durations.usual(job.route.name), draw)
+        return retry_after(self.beliefs.durations.median(job.route.name), draw)
--- a/packages/relay/tests/relay/restarts.py
+++ b/packages/relay/tests/relay/restarts.py
@@ -161,8 +161,8 @@
         )
         for _ in range(64):
             events = self.lengths(self.rng)
-            beliefs.durations.note("rooms", events * INTERVAL)
-            beliefs.durations.note_stream("rooms", INTERVAL, INTERVAL)
+            beliefs.durations.record_answer("rooms", events * INTERVAL)
+            beliefs.durations.record_stream("rooms", INTERVAL, INTERVAL)
         process = self._process(name, beliefs)
         self.processes[name] = process
         asyncio.ensure_future(self._speak(name, process))
--- a/packages/relay/tests/relay/test_endings.py
+++ b/packages/relay/tests/relay/test_endings.py
@@ -48,8 +48,8 @@
             services={"rooms": SimpleNamespace(shape=shape)}
         )
         for _ in range(20):
-            beliefs.durations.note("rooms", 2.0)
-            beliefs.durations.note_stream("rooms", 0.5, INTERVAL)
+            beliefs.durations.record_answer("rooms", 2.0)
+            beliefs.durations.record_stream("rooms", 0.5, INTERVAL)
         job = SimpleNamespace(
             request=SimpleNamespace(most_answer=most_answer, received_at=received),
             route=route_of("rooms", RetrySafety.RESUMABLE_STREAM),
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -168,7 +168,7 @@
     """
     played = stream(Engine())
     for seconds in (2.0,) * 20 + (6.0,) * 2:
-        played.beliefs.durations.note("rooms", seconds)
+        played.beliefs.durations.record_answer("rooms", seconds)
     played._find = lambda *asked: Refusal(ErrorKind.OVERLOADED, "no path has memory")
     ended = play(played.serve())
     least, most = RETRY_AFTER_ANSWERS
--- a/packages/relay/tests/relay/test_readiness.py
+++ b/packages/relay/tests/relay/test_readiness.py
@@ -63,7 +63,9 @@
     """With 2.8 seconds whatever the grace, 47 requests were refused in vain."""
     readiness = Readiness(Beliefs(), grace, take_expected)
     for number in range(100):
-        readiness.beliefs.durations.note("rooms", length * (0.5 + number / 200))
+        readiness.beliefs.durations.record_answer(
+            "rooms", length * (0.5 + number / 200)
+        )
     readiness.leave(now=10.0)
     latest = 10.0 + grace - END_MARGIN - length
     assert takes(readiness, ROOMS, latest - 0.01)
@@ -72,7 +74,7 @@
 
 def test_answers_of_one_route_say_nothing_of_another(leaving):
     for _ in range(20):
-        leaving.beliefs.durations.note("calls", 0.05)
+        leaving.beliefs.durations.record_answer("calls", 0.05)
     assert takes(leaving, CALLS, 17.0)
     assert not takes(leaving, ROOMS, 17.0)
 
@@ -88,8 +90,8 @@
 @pytest.mark.parametrize("usual", [0.01, 0.5, 2.0])
 def test_what_answers_took_before_bounds_no_later_one(leaving, usual):
     for _ in range(64):
-        leaving.beliefs.durations.note("rooms", usual)
-        leaving.beliefs.durations.note_stream("rooms", 0.1 * usual, 0.01 * usual)
+        leaving.beliefs.durations.record_answer("rooms", usual)
+        leaving.beliefs.durations.record_stream("rooms", 0.1 * usual, 0.01 * usual)
     leaving.takes_last = take_until_redirected
     redirected = 10.0 + REDIRECT_TIME
     assert takes(leaving, ROOMS, redirected - 0.01)
