--- a/packages/core/src/lacewingcourse/core/pipelines/path.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/path.py
@@ -21,21 +21,21 @@
 LOCAL_HOP_MS = 0.2
 #: Milliseconds that a usual prompt's activations are taken to cost for each crossing of
 #: availability zones, spread over the tokens of an answer. All paths share the link.
-CROSSING_MS = 4.0
+CROSS_ZONE_HOP_MS = 4.0
 #: How much dearer a part looks for each earlier candidate path that uses it. With too
 #: little the memory of slow copies is on no candidate.
-REUSE_WEIGHT = 6.0
+REUSE_PENALTY = 6.0
 #: Parts that a path may have; engines refuse longer ones.
-MOST_PARTS = 32
+MAX_PARTS = 32
 #: Candidate paths that are searched for each service.
-MOST_CANDIDATES = 32
+MIN_SEARCHES = 32
 #: Endpoints for each of which one candidate more is searched in a larger fleet: a path
 #: takes four to eight of them, so each is on one or two.
-ENDPOINTS_PER_CANDIDATE = 4
+ENDPOINTS_PER_SEARCH = 4
 #: Candidates that are searched within an availability zone at the least.
-LEAST_IN_ZONE = 3
+MIN_SEARCHES_PER_ZONE = 3
 #: Requests that are taken to write beside one another when parts are compared.
-TYPICAL_RUNNING = 8.0
+TYPICAL_CONCURRENCY = 8.0
 
 
 @attrs.frozen
@@ -92,18 +92,18 @@
 def _crossings(parts: tuple[Part, ...]) -> tuple[ZonePair, ...]:
     """Return the pairs of availability zones between which parts pass, in order."""
     zones = [part.zone for part in parts]
-    steps = zip(zones, zones[1:], strict=False)
-    return tuple(zone_pair(a, b) for a, b in steps if a != b)
+    hops = zip(zones, zones[1:], strict=False)
+    return tuple(zone_pair(a, b) for a, b in hops if a != b)
 
 
-def is_whole(path: Path, layer_count: int) -> bool:
+def covers_all_layers(path: Path, layer_count: int) -> bool:
     """Tell whether a path runs every layer once and in order."""
     position = 0
     for part in path.parts:
         if part.layers.start != position or not len(part.layers):
             return False
         position = part.layers.end
-    return position == layer_count and len(path.parts) <= MOST_PARTS
+    return position == layer_count and len(path.parts) <= MAX_PARTS
 
 
 def candidate_paths(endpoints: list[Endpoint], shape: EngineShape) -> list[Path]:
@@ -126,16 +126,18 @@
         and len(endpoint.layers)
         and endpoint.accelerator in shape.accelerators
     ]
-    most = max(MOST_CANDIDATES, len(holders) // ENDPOINTS_PER_CANDIDATE)
-    uses: dict[str, int] = {}
+    search_count = max(MIN_SEARCHES, len(holders) // ENDPOINTS_PER_SEARCH)
+    use_counts: dict[str, int] = {}
     found: dict[tuple, Path] = {}
     for members in _by_zone(holders):
-        share = max(LEAST_IN_ZONE, most * len(members) // len(holders))
-        _collect(_Search(members, shape, uses), share, found)
+        zone_searches = max(
+            MIN_SEARCHES_PER_ZONE, search_count * len(members) // len(holders)
+        )
+        _collect(_PathSearch(members, shape, use_counts), zone_searches, found)
     if found:
-        _take_up(_Search(holders, shape, uses), found)
+        _cover_unused(_PathSearch(holders, shape, use_counts), found)
     else:
-        _collect(_Search(holders, shape, uses), most, found)
+        _collect(_PathSearch(holders, shape, use_counts), search_count, found)
     return sorted(found.values(), key=lambda path: path.token_ms)
 
 
@@ -147,7 +149,7 @@
     return [zones[zone] for zone in sorted(zones)] if len(zones) > 1 else []
 
 
-def _collect(search: _Search, count: int, found: dict[tuple, Path]) -> None:
+def _collect(search: _PathSearch, count: int, found: dict[tuple, Path]) -> None:
     """Add the paths that a search finds in some tries."""
     for _ in range(count):
         path = search.cheapest()
@@ -156,28 +158,32 @@
         _add(search, path, found)
 
 
-def _take_up(search: _Search, found: dict[tuple, Path]) -> None:
+def _cover_unused(search: _PathSearch, found: dict[tuple, Path]) -> None:
     """Add paths over all zones as long as they take up endpoints that are on none.
 
     A loss leaves endpoints without a neighbour of their zone. Where all are on paths
     already, more of these serve no more, and searching them takes most of the time.
     """
-    while any(endpoint.id not in search.uses for endpoint in search.holders):
+    while any(endpoint.id not in search.use_counts for endpoint in search.holders):
         path = search.cheapest()
-        if path is None or all(part.endpoint in search.uses for part in path.parts):
+        if path is None or all(
+            part.endpoint in search.use_counts for part in path.parts
+        ):
             return
         _add(search, path, found)
 
 
-def _add(search: _Search, path: Path, found: dict[tuple, Path]) -> None:
+def _add(search: _PathSearch, path: Path, found: dict[tuple, Path]) -> None:
     """Add a path unless engines would refuse it; make its parts dearer."""
-    search.use(path)
-    if is_whole(path, search.shape.layers) and not _repeats(path):
+    search.record_use(path)
+    if covers_all_layers(path, search.shape.layers) and not _has_repeated_endpoint(
+        path
+    ):
         found.setdefault(tuple((p.endpoint, p.layers) for p in path.parts), path)
 
 
 @attrs.frozen
-class _Step:
+class _PartStart:
     """An endpoint whose part may begin at a layer.
 
     Attributes:
@@ -191,7 +197,7 @@
 
 
 @attrs.frozen
-class _Reach:
+class _PartialPath:
     """The cheapest way to a layer.
 
     Attributes:
@@ -202,10 +208,10 @@
 
     cost: float
     zone: str
-    trail: tuple | None
+    chain: tuple | None
 
 
-class _Search:
+class _PathSearch:
     """Cheapest paths over the layers, with weights for what is used already.
 
     Layers are visited in order, and for each one only the cheapest way from each zone
@@ -213,81 +219,83 @@
     """
 
     def __init__(
-        self, holders: list[Endpoint], shape: EngineShape, uses: dict[str, int]
+        self, holders: list[Endpoint], shape: EngineShape, use_counts: dict[str, int]
     ) -> None:
         self.shape = shape
-        self.uses = uses
+        self.use_counts = use_counts
         self.holders = holders
         self.kinds = {e.id: shape.accelerators[e.accelerator] for e in self.holders}
         starts = sorted({e.layers.start for e in self.holders})
         cuts = sorted({*starts, *(e.layers.end for e in self.holders)})
-        self.steps = {cut: self._steps_at(cut, starts) for cut in cuts}
+        self.part_starts = {cut: self._part_starts_at(cut, starts) for cut in cuts}
 
-    def use(self, path: Path) -> None:
+    def record_use(self, path: Path) -> None:
         """Make the parts of a path dearer."""
         for part in path.parts:
-            self.uses[part.endpoint] = self.uses.get(part.endpoint, 0) + 1
+            self.use_counts[part.endpoint] = self.use_counts.get(part.endpoint, 0) + 1
 
     def cheapest(self) -> Path | None:
         """Return the cheapest path, None if the layers are not covered."""
-        reached: dict[int, dict[str, _Reach]] = {0: {"": _Reach(0.0, "", None)}}
-        for position, steps in self.steps.items():
-            ways = reached.get(position)
-            if ways is None or position == self.shape.layers:
+        reached: dict[int, dict[str, _PartialPath]] = {
+            0: {"": _PartialPath(0.0, "", None)}
+        }
+        for position, part_starts in self.part_starts.items():
+            partials = reached.get(position)
+            if partials is None or position == self.shape.layers:
                 continue
-            best = min(ways.values(), key=lambda way: way.cost)
-            for step in steps:
-                self._extend(reached, position, step, ways, best)
+            best = min(partials.values(), key=lambda partial: partial.cost)
+            for part_start in part_starts:
+                self._extend(reached, position, part_start, partials, best)
         arrived = reached.get(self.shape.layers)
         if not arrived:
             return None
-        return self._path(min(arrived.values(), key=lambda way: way.cost).trail)
+        return self._path(min(arrived.values(), key=lambda partial: partial.cost).chain)
 
     def _extend(
         self,
-        reached: dict[int, dict[str, _Reach]],
+        reached: dict[int, dict[str, _PartialPath]],
         position: int,
-        step: _Step,
-        ways: dict[str, _Reach],
-        best: _Reach,
+        part_start: _PartStart,
+        partials: dict[str, _PartialPath],
+        best: _PartialPath,
     ) -> None:
         """Go on from a layer by the parts of an endpoint where that is cheaper."""
-        zone = step.endpoint.zone
-        way, cost = best, best.cost + (CROSSING_MS if best.zone else 0.0)
-        local = ways.get(zone)
+        zone = part_start.endpoint.zone
+        partial, cost = best, best.cost + (CROSS_ZONE_HOP_MS if best.zone else 0.0)
+        local = partials.get(zone)
         if local is not None and local.cost + LOCAL_HOP_MS < cost:
-            way, cost = local, local.cost + LOCAL_HOP_MS
-        factor = 1.0 + REUSE_WEIGHT * self.uses.get(step.endpoint.id, 0)
-        for end, time in step.ends:
+            partial, cost = local, local.cost + LOCAL_HOP_MS
+        factor = 1.0 + REUSE_PENALTY * self.use_counts.get(part_start.endpoint.id, 0)
+        for end, time in part_start.ends:
             total = cost + time * factor
             known = reached.setdefault(end, {})
             if zone not in known or total < known[zone].cost:
-                trail = (step.endpoint, position, end, way.trail)
-                known[zone] = _Reach(total, zone, trail)
+                chain = (part_start.endpoint, position, end, partial.chain)
+                known[zone] = _PartialPath(total, zone, chain)
 
-    def _steps_at(self, position: int, starts: list[int]) -> list[_Step]:
+    def _part_starts_at(self, position: int, starts: list[int]) -> list[_PartStart]:
         """Return the endpoints whose parts may begin at a layer.
 
         A part ends where its endpoint's layers end, or where another one's begin.
         """
-        steps = []
+        part_starts = []
         for endpoint in self.holders:
             layers = endpoint.layers
             if not layers.start <= position < layers.end:
                 continue
             kind = self.kinds[endpoint.id]
-            layer_ms = self.shape.decode_step_ms(kind, 1, TYPICAL_RUNNING)
+            layer_ms = self.shape.decode_step_ms(kind, 1, TYPICAL_CONCURRENCY)
             after = bisect_right(starts, position)
             ends = (*starts[after : bisect_left(starts, layers.end)], layers.end)
             times = tuple((end, (end - position) * layer_ms) for end in ends)
-            steps.append(_Step(endpoint, times))
-        return steps
+            part_starts.append(_PartStart(endpoint, times))
+        return part_starts
 
-    def _path(self, trail: tuple | None) -> Path:
+    def _path(self, chain: tuple | None) -> Path:
         """Return the path of a trail, which may be too long for engines."""
         parts: list[Part] = []
-        while trail is not None:
-            endpoint, start, end, trail = trail
+        while chain is not None:
+            endpoint, start, end, chain = chain
             layers = Layers(start, end)
             place = endpoint.address, endpoint.zone
             parts.append(Part(endpoint.id, *place, layers, endpoint.name))
@@ -299,14 +307,14 @@
         total = 0.0
         zone = parts[0].zone
         for part in parts:
-            total += LOCAL_HOP_MS if part.zone == zone else CROSSING_MS
+            total += LOCAL_HOP_MS if part.zone == zone else CROSS_ZONE_HOP_MS
             zone = part.zone
             kind = self.kinds[part.endpoint]
             total += self.shape.decode_step_ms(kind, len(part.layers), 1.0)
         return total
 
 
-def _repeats(path: Path) -> bool:
+def _has_repeated_endpoint(path: Path) -> bool:
     """Tell whether an endpoint stands twice on a path; engines refuse that."""
     ids = [part.endpoint for part in path.parts]
     return len(set(ids)) < len(ids)
--- a/packages/core/tests/pipelines/test_path.py
+++ b/packages/core/tests/pipelines/test_path.py
@@ -4,7 +4,11 @@
 
 from hypothesis import given, settings, strategies as st
 
-from lacewingcourse.core.pipelines.path import MOST_PARTS, candidate_paths, is_whole
+from lacewingcourse.core.pipelines.path import (
+    MAX_PARTS,
+    candidate_paths,
+    covers_all_layers,
+)
 
 from .conftest import KINDS, holding, make_endpoint, make_shape
 
@@ -14,7 +18,7 @@
 def test_candidates_run_every_layer_once(fleet, shape):
     paths = candidate_paths(fleet, shape)
     assert paths
-    assert all(is_whole(path, shape.layers) for path in paths)
+    assert all(covers_all_layers(path, shape.layers) for path in paths)
 
 
 def test_candidates_differ_in_their_endpoints(fleet, shape):
@@ -51,7 +55,7 @@
         holding(make_endpoint("b", "large"), 39, 80),
     ]
     path, *_ = candidate_paths(held, shape)
-    assert is_whole(path, shape.layers)
+    assert covers_all_layers(path, shape.layers)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -64,7 +68,7 @@
     ]
     by_id = {e.id: e for e in endpoints}
     for path in candidate_paths(endpoints, shape):
-        assert is_whole(path, shape.layers)
-        assert len(path.parts) <= MOST_PARTS
+        assert covers_all_layers(path, shape.layers)
+        assert len(path.parts) <= MAX_PARTS
         assert len({p.endpoint for p in path.parts}) == len(path.parts)
         assert all(by_id[p.endpoint].layers.covers(p.layers) for p in path.parts)
