--- a/packages/bench/src/lacewingcourse/bench/path_choices.py
+++ b/packages/bench/src/lacewingcourse/bench/path_choices.py
@@ -13,7 +13,7 @@
 from lacewingcourse.bench.pipeline_fleets import read_plan
 from lacewingcourse.bench.sections import SECTIONS
 from lacewingcourse.core.errors import Refusal
-from lacewingcourse.core.pipelines.choice import LOOKED_AT, Demand, PathChooser
+from lacewingcourse.core.pipelines.choice import PATH_SAMPLE_SIZE, Demand, PathChooser
 from lacewingcourse.core.pipelines.layout import search_layout
 from lacewingcourse.core.pipelines.links import LinkUsage
 from lacewingcourse.core.pipelines.load import LoadTable
@@ -137,10 +137,10 @@
         single(f"candidate paths, {size}", "ms", candidates * MILLISECONDS),
     ]
     rates = {}
-    for name, looked_at in (("drawn", LOOKED_AT), ("all", len(paths))):
+    for name, sample_size in (("drawn", PATH_SAMPLE_SIZE), ("all", len(paths))):
         rng = random.Random(seed)
         chooser = PathChooser(plan.shape, known, LoadTable(), LinkUsage())
-        chooser.looked_at = looked_at
+        chooser.sample_size = sample_size
         half_full(chooser, paths, rng)
         values = choice_times(chooser, paths, rng)
         figures.append(figure(f"choice, {name}, {size}", "us", values))
--- a/packages/bench/src/lacewingcourse/bench/pipeline_play.py
+++ b/packages/bench/src/lacewingcourse/bench/pipeline_play.py
@@ -302,7 +302,7 @@
     def _start(self, stream: Stream, path: Path, now: float) -> None:
         """Begin to read a prompt, behind those that are being read on the path."""
         stream.path = path
-        tokens = stream.demand.prompt + int(stream.written)
+        tokens = stream.demand.prompt_tokens + int(stream.written)
         ready = now
         for part in path.parts:
             kind = self._kind(part.endpoint)
@@ -351,7 +351,7 @@
         """Stop the newest requests of parts whose memory has overflowed."""
         used: dict[str, float] = {}
         for stream in self.running:
-            tokens = stream.demand.prompt + stream.written
+            tokens = stream.demand.prompt_tokens + stream.written
             for part in stream.path.parts:
                 cells = tokens * len(part.layers)
                 used[part.endpoint] = used.get(part.endpoint, 0.0) + cells
@@ -366,7 +366,7 @@
         for stream in list(reversed(self.running)):
             if excess <= 0:
                 return
-            tokens = stream.demand.prompt + stream.written
+            tokens = stream.demand.prompt_tokens + stream.written
             held = [p for p in stream.path.parts if p.endpoint == name]
             if held:
                 excess -= tokens * len(held[0].layers)
@@ -405,7 +405,7 @@
     def _result(self) -> Result:
         asked = self.streams
         good = [s for s in asked if s.ended and not s.late]
-        by_size = sorted(asked, key=lambda s: s.demand.prompt + 10 * s.answer)
+        by_size = sorted(asked, key=lambda s: s.demand.prompt_tokens + 10 * s.answer)
         largest = by_size[-max(1, len(asked) // 10) :]
         shares = []
         for organisation in range(self.plan.organisations):
--- a/packages/core/src/lacewingcourse/core/pipelines/capacity.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/capacity.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
-    from lacewingcourse.core.pipelines.choice import Draws
+    from lacewingcourse.core.pipelines.choice import RandomSource
     from lacewingcourse.core.pipelines.fleet import Endpoint
     from lacewingcourse.core.pipelines.path import Path
     from lacewingcourse.core.pipelines.shape import EngineShape
@@ -70,7 +70,7 @@
 
 
 def fleet_bound(
-    endpoints: list[Endpoint], shape: EngineShape, rng: Draws
+    endpoints: list[Endpoint], shape: EngineShape, rng: RandomSource
 ) -> FleetBound | None:
     """Return what endpoints can serve, None if no path holds every layer.
 
@@ -86,7 +86,7 @@
 
 
 def fill_fleet(
-    endpoints: list[Endpoint], shape: EngineShape, rng: Draws
+    endpoints: list[Endpoint], shape: EngineShape, rng: RandomSource
 ) -> Generator[None, None, FleetBound | None]:
     """Find what endpoints can serve, see `fleet_bound`.
 
@@ -105,13 +105,13 @@
         requests_per_second=sum(1000.0 / time for time in times),
         first_event_ms=_read_ms(chooser, paths[0], demand) + paths[0].token_ms,
         idle_token_ms=paths[0].token_ms,
-        full_token_ms=sum(times) / max(1, len(times)) / demand.answer,
+        full_token_ms=sum(times) / max(1, len(times)) / demand.answer_tokens,
         paths=len(paths),
     )
 
 
 def _fill(
-    chooser: PathChooser, paths: list[Path], demand: Demand, rng: Draws
+    chooser: PathChooser, paths: list[Path], demand: Demand, rng: RandomSource
 ) -> Generator[None, None, list[Path]]:
     """Put requests on paths until none fits; return the path of each."""
     taken: list[Path] = []
@@ -133,5 +133,5 @@
             chooser.endpoints[part.endpoint].accelerator
         ]
         span = len(part.layers)
-        total += chooser.shape.prefill_ms(accelerator, span, demand.prompt)
+        total += chooser.shape.prefill_ms(accelerator, span, demand.prompt_tokens)
     return total
--- a/packages/core/src/lacewingcourse/core/pipelines/choice.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/choice.py
@@ -9,7 +9,7 @@
 from lacewingcourse.core.errors import ErrorKind, Refusal
 from lacewingcourse.core.pipelines.links import MAX_LINK_UTILISATION
 from lacewingcourse.core.pipelines.load import NO_LOAD
-from lacewingcourse.core.pipelines.path_figures import figures_of
+from lacewingcourse.core.pipelines.path_costs import path_costs_of
 from lacewingcourse.core.pipelines.speed import SpeedEstimator
 
 if TYPE_CHECKING:
@@ -20,32 +20,32 @@
     from lacewingcourse.core.pipelines.links import LinkUsage
     from lacewingcourse.core.pipelines.load import LoadTable
     from lacewingcourse.core.pipelines.path import Part, Path
-    from lacewingcourse.core.pipelines.path_figures import PathFigures
+    from lacewingcourse.core.pipelines.path_costs import PathCosts
     from lacewingcourse.core.pipelines.shape import EngineShape
 
 #: Share of an endpoint's memory for requests that is given away. Answers are longer
 #: than their estimate about as often as shorter, and one that outgrows the memory
 #: stops the newest request, so some is left.
-ROOM_SHARE = 0.9
+MAX_MEMORY_SHARE = 0.9
 #: The same for a stream whose caller already reads it: cut, it is worth nothing.
-CONTINUED_ROOM_SHARE = 1.0
+MAX_MEMORY_SHARE_RESUMED = 1.0
 #: How many times as dear a path is for each link between zones that it takes.
-CROSSING_FACTOR = 1.4
+CROSS_ZONE_COST_FACTOR = 1.4
 #: How many times as dear a path looks to whose first endpoint there is no connection. A
 #: new one takes a round trip of some milliseconds and a place among those that an
 #: endpoint accepts; a path that is a fifth slower or fuller costs about as much.
-UNCONNECTED_FACTOR = 1.2
+NEW_CONNECTION_COST_FACTOR = 1.2
 #: How much worse than the best a path may look to be drawn among the best ones.
 #: Entries that see the same loads would otherwise all take the same path.
-NEAR_BEST = 1.08
+NEAR_BEST_COST_RATIO = 1.08
 #: Share of free memory that is reckoned with at the least, to bound the cost.
-LEAST_LEFT = 0.02
+MIN_FREE_SHARE = 0.02
 #: Paths that are drawn and compared for a request. Where none of them has room, all
 #: are compared.
-LOOKED_AT = 12
+PATH_SAMPLE_SIZE = 12
 #: Share of a plain endpoint's slots above which it counts as full: beyond twice its
 #: slots a request waits longer than two others run.
-CALLS_PER_SLOT = 2.0
+MAX_CALLS_PER_SLOT = 2.0
 
 
 @attrs.frozen
@@ -57,20 +57,20 @@
         answer: Tokens that its answer is expected to have.
     """
 
-    prompt: int
-    answer: int
+    prompt_tokens: int
+    answer_tokens: int
 
     @property
     def tokens(self) -> int:
         """Tokens that it is expected to hold at its end."""
-        return self.prompt + self.answer
+        return self.prompt_tokens + self.answer_tokens
 
 
 #: What a request needs that does not exist.
-NOTHING = Demand(0, 0)
+NO_DEMAND = Demand(0, 0)
 
 
-class Draws(Protocol):
+class RandomSource(Protocol):
     """What draws among equally good choices."""
 
     def choice(self, found: list[Path]) -> Path:
@@ -99,17 +99,17 @@
     loads: LoadTable
     links: LinkUsage
     speeds: SpeedEstimator = attrs.field(factory=SpeedEstimator)
-    looked_at: int = LOOKED_AT
-    figures: dict[int, PathFigures] = attrs.field(factory=dict, repr=False)
+    sample_size: int = PATH_SAMPLE_SIZE
+    costs_by_path: dict[int, PathCosts] = attrs.field(factory=dict, repr=False)
 
     def choose(
         self,
         paths: list[Path],
         demand: Demand,
         avoid: Collection[str],
-        rng: Draws,
+        rng: RandomSource,
         now: float,
-        share: float = ROOM_SHARE,
+        share: float = MAX_MEMORY_SHARE,
         connected: Collection[str] = (),
     ) -> Path | Refusal:
         """Return the path for a request, or why there is none.
@@ -126,30 +126,32 @@
         usable = [p for p in paths if not p.uses(avoid)] if avoid else paths
         if not usable:
             return Refusal(ErrorKind.NO_ROUTE, "no path holds every layer")
-        if len(usable) > self.looked_at:
-            drawn = self._drawn(usable, rng, connected)
-            found = self._best(drawn, demand, rng, now, share, connected)
+        if len(usable) > self.sample_size:
+            sampled = self._sample(usable, rng, connected)
+            found = self._choose_cheapest(sampled, demand, rng, now, share, connected)
             if found is not None:
                 return found
-        found = self._best(usable, demand, rng, now, share, connected)
+        found = self._choose_cheapest(usable, demand, rng, now, share, connected)
         if found is None:
             return Refusal(ErrorKind.OVERLOADED, "no path has memory for the request")
         return found
 
-    def _drawn(
-        self, paths: list[Path], rng: Draws, connected: Collection[str]
+    def _sample(
+        self, paths: list[Path], rng: RandomSource, connected: Collection[str]
     ) -> list[Path]:
         """Return some paths, as many as may be of connected ones among them."""
-        near = [path for path in paths if path.first.address in connected]
-        if len(near) > self.looked_at // 2:
-            near = rng.sample(near, self.looked_at // 2)
-        return near + rng.sample(paths, self.looked_at - len(near))
-
-    def _best(
+        connected_paths = [path for path in paths if path.first.address in connected]
+        if len(connected_paths) > self.sample_size // 2:
+            connected_paths = rng.sample(connected_paths, self.sample_size // 2)
+        return connected_paths + rng.sample(
+            paths, self.sample_size - len(connected_paths)
+        )
+
+    def _choose_cheapest(
         self,
         paths: list[Path],
         demand: Demand,
-        rng: Draws,
+        rng: RandomSource,
         now: float,
         share: float,
         connected: Collection[str],
@@ -165,22 +167,22 @@
             if cost is None:
                 continue
             if path.first.address not in connected:
-                cost *= UNCONNECTED_FACTOR
+                cost *= NEW_CONNECTION_COST_FACTOR
             scored.append((cost, path))
         if not scored:
             return None
         best = min(cost for cost, _ in scored)
-        near = [path for cost, path in scored if cost <= best * NEAR_BEST]
+        near = [path for cost, path in scored if cost <= best * NEAR_BEST_COST_RATIO]
         return rng.choice(near)
 
     def fits(
-        self, path: Path, demand: Demand, now: float, share: float = ROOM_SHARE
+        self, path: Path, demand: Demand, now: float, share: float = MAX_MEMORY_SHARE
     ) -> bool:
         """Tell whether parts have memory, the first one a slot, and links time."""
         return self.cost(path, demand, now, share) is not None
 
     def cost(
-        self, path: Path, demand: Demand, now: float, share: float = ROOM_SHARE
+        self, path: Path, demand: Demand, now: float, share: float = MAX_MEMORY_SHARE
     ) -> float | None:
         """Return the predicted time, raised as memory and links fill.
 
@@ -196,9 +198,9 @@
         if found is None:
             return None
         time, fill = found
-        cost = time / max(1.0 - fill, LEAST_LEFT)
+        cost = time / max(1.0 - fill, MIN_FREE_SHARE)
         if path.crossings:
-            cost *= self._crossing_cost(path, demand, now)
+            cost *= self._cross_zone_factor(path, demand, now)
         return cost if cost < float("inf") else None
 
     def _time_and_fill(
@@ -210,36 +212,40 @@
         choice, so it walks the parts once.
         """
         sums, slow = self.loads.sums, self.speeds.estimates
-        tokens, prompt, answer = demand.tokens, demand.prompt, demand.answer
+        tokens, prompt, answer = (
+            demand.tokens,
+            demand.prompt_tokens,
+            demand.answer_tokens,
+        )
         total, fullest = path.token_ms, 0.0
-        for part in self._figures(path).parts:
+        for part in self._costs_of(path).parts:
             load = sums.get(part.endpoint, NO_LOAD)
             fill = (
-                (load.token_layers + tokens * part.span) / part.room
-                if part.room
+                (load.token_layers + tokens * part.span) / part.kv_capacity
+                if part.kv_capacity
                 else 2.0
             )
             if fill > share:
                 return None
             if fill > fullest:
                 fullest = fill
-            step = part.step_ms + load.requests * part.request_ms
-            time = step * answer + part.read_ms * prompt
+            step = part.step_ms + load.requests * part.ms_per_other_request
+            time = step * answer + part.prefill_ms_per_token * prompt
             if part.endpoint in slow:
                 time *= self.speeds.slowdown(part.endpoint, now)
             total += time
         return total, fullest
 
-    def _crossing_cost(self, path: Path, demand: Demand, now: float) -> float:
+    def _cross_zone_factor(self, path: Path, demand: Demand, now: float) -> float:
         """Return how many times as dear links make a path, infinite if one is full."""
-        transfer = self.shape.transfer_seconds(demand.prompt)
+        transfer = self.shape.transfer_seconds(demand.prompt_tokens)
         factor = 1.0
         for pair in path.crossings:
             use = self.links.utilisation(pair, now)
             if use + transfer > MAX_LINK_UTILISATION:
                 return float("inf")
-            factor *= CROSSING_FACTOR / max(
-                1.0 - use / MAX_LINK_UTILISATION, LEAST_LEFT
+            factor *= CROSS_ZONE_COST_FACTOR / max(
+                1.0 - use / MAX_LINK_UTILISATION, MIN_FREE_SHARE
             )
         return factor
 
@@ -248,7 +254,7 @@
         found = self._time_and_fill(path, demand, now, float("inf"))
         return found[0]
 
-    def filled(self, part: Part, demand: Demand = NOTHING) -> float:
+    def memory_share(self, part: Part, demand: Demand = NO_DEMAND) -> float:
         """Return the share of a part's memory that is taken with a request in it."""
         endpoint = self.endpoints.get(part.endpoint)
         if endpoint is None or endpoint.layers is None:
@@ -257,16 +263,16 @@
         # A version may have dropped the kind while requests still run on it.
         if accelerator is None:
             return float("inf")
-        room = self.shape.kv_capacity(accelerator, len(endpoint.layers))
+        kv_capacity = self.shape.kv_capacity(accelerator, len(endpoint.layers))
         taken = self.loads.get(part.endpoint).token_layers
-        return (taken + demand.tokens * len(part.layers)) / max(room, 1.0)
+        return (taken + demand.tokens * len(part.layers)) / max(kv_capacity, 1.0)
 
-    def _figures(self, path: Path) -> PathFigures:
+    def _costs_of(self, path: Path) -> PathCosts:
         """Return the figures of a path, which are kept as long as this chooser."""
-        found = self.figures.get(id(path))
+        found = self.costs_by_path.get(id(path))
         if found is None:
-            found = figures_of(path, self.endpoints, self.shape)
-            self.figures[id(path)] = found
+            found = path_costs_of(path, self.endpoints, self.shape)
+            self.costs_by_path[id(path)] = found
         return found
 
 
@@ -293,8 +299,8 @@
     if not usable:
         return Refusal(ErrorKind.NO_ROUTE, "no endpoint serves the call")
     taken = {e.id: loads.get(e.id).requests / max(1, e.slots) for e in usable}
-    free = [e for e in usable if taken[e.id] < CALLS_PER_SLOT]
+    free = [e for e in usable if taken[e.id] < MAX_CALLS_PER_SLOT]
     if not free:
         return Refusal(ErrorKind.OVERLOADED, "every endpoint has a queue")
-    draws = {endpoint.id: rng.random() for endpoint in free}
-    return min(free, key=lambda e: (taken[e.id], e.zone != zone, draws[e.id]))
+    tie_breakers = {endpoint.id: rng.random() for endpoint in free}
+    return min(free, key=lambda e: (taken[e.id], e.zone != zone, tie_breakers[e.id]))
--- a/packages/core/src/lacewingcourse/core/pipelines/path_figures.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/path_costs.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class PartFigures:
+class PartCosts:
     """What a part adds to the time of a request, and the memory that it has.
 
     Attributes:
@@ -30,14 +30,14 @@
 
     endpoint: str
     span: int
-    room: float
+    kv_capacity: float
     step_ms: float
-    request_ms: float
-    read_ms: float
+    ms_per_other_request: float
+    prefill_ms_per_token: float
 
 
 @attrs.frozen(eq=False)
-class PathFigures:
+class PathCosts:
     """A path with the figures of its parts.
 
     Attributes:
@@ -46,12 +46,12 @@
     """
 
     path: Path
-    parts: tuple[PartFigures, ...]
+    parts: tuple[PartCosts, ...]
 
 
-def figures_of(
+def path_costs_of(
     path: Path, endpoints: Mapping[str, Endpoint], shape: EngineShape
-) -> PathFigures:
+) -> PathCosts:
     """Return a path with the figures of its parts.
 
     Args:
@@ -60,22 +60,23 @@
         shape: Published figures of the engines.
     """
     parts = tuple(
-        _figures(part, endpoints.get(part.endpoint), shape) for part in path.parts
+        _part_costs(part, endpoints.get(part.endpoint), shape) for part in path.parts
     )
-    return PathFigures(path, parts)
+    return PathCosts(path, parts)
 
 
-def _figures(part: Part, endpoint: Endpoint | None, shape: EngineShape) -> PartFigures:
+def _part_costs(part: Part, endpoint: Endpoint | None, shape: EngineShape) -> PartCosts:
     span = len(part.layers)
     if endpoint is None or endpoint.layers is None:
-        return PartFigures(part.endpoint, span, 0.0, 0.0, 0.0, 0.0)
+        return PartCosts(part.endpoint, span, 0.0, 0.0, 0.0, 0.0)
     accelerator = shape.accelerators[endpoint.accelerator]
-    alone = shape.decode_step_ms(accelerator, span, 1.0)
-    return PartFigures(
+    single_request_ms = shape.decode_step_ms(accelerator, span, 1.0)
+    return PartCosts(
         endpoint=part.endpoint,
         span=span,
-        room=max(shape.kv_capacity(accelerator, len(endpoint.layers)), 1.0),
-        step_ms=alone,
-        request_ms=shape.decode_step_ms(accelerator, span, 2.0) - alone,
-        read_ms=shape.prefill_ms(accelerator, span, 1),
+        kv_capacity=max(shape.kv_capacity(accelerator, len(endpoint.layers)), 1.0),
+        step_ms=single_request_ms,
+        ms_per_other_request=shape.decode_step_ms(accelerator, span, 2.0)
+        - single_request_ms,
+        prefill_ms_per_token=shape.prefill_ms(accelerator, span, 1),
     )
--- a/packages/core/src/lacewingcourse/core/pipelines/rating.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/rating.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lacewingcourse.core.pipelines.choice import ROOM_SHARE
+from lacewingcourse.core.pipelines.choice import MAX_MEMORY_SHARE
 from lacewingcourse.core.pipelines.layer_memory import token_capacity
 from lacewingcourse.core.pipelines.path import LOCAL_HOP_MS
 
@@ -38,7 +38,9 @@
     if not requests:
         return 0.0
     weakest = (
-        ROOM_SHARE * min(token_capacity(placed, shape)) / shape.mean_request_tokens
+        MAX_MEMORY_SHARE
+        * min(token_capacity(placed, shape))
+        / shape.mean_request_tokens
     )
     return rate * weakest / requests
 
@@ -47,7 +49,7 @@
     """Return the usual requests for which an endpoint has room in each layer."""
     held = len(endpoint.layers)
     accelerator = shape.accelerators[endpoint.accelerator]
-    tokens = ROOM_SHARE * shape.kv_capacity(accelerator, held) / held
+    tokens = MAX_MEMORY_SHARE * shape.kv_capacity(accelerator, held) / held
     return tokens / shape.mean_request_tokens
 
 
--- a/packages/core/tests/pipelines/conftest.py
+++ b/packages/core/tests/pipelines/conftest.py
@@ -76,7 +76,7 @@
     ]
 
 
-def make_five_zones():
+def make_five_zone_fleet():
     """Return 114 empty endpoints of three kinds in five availability zones."""
     counts = [(2, 12, 10), (3, 5, 12), (2, 7, 19), (1, 12, 10), (3, 4, 12)]
     return [
--- a/packages/core/tests/pipelines/test_choice.py
+++ b/packages/core/tests/pipelines/test_choice.py
@@ -9,9 +9,9 @@
 
 from lacewingcourse.core.errors import ErrorKind, Refusal
 from lacewingcourse.core.pipelines.choice import (
-    CONTINUED_ROOM_SHARE,
-    LOOKED_AT,
-    ROOM_SHARE,
+    MAX_MEMORY_SHARE,
+    MAX_MEMORY_SHARE_RESUMED,
+    PATH_SAMPLE_SIZE,
     Demand,
     PathChooser,
     choose_endpoint,
@@ -20,17 +20,17 @@
 from lacewingcourse.core.pipelines.load import Load, LoadTable
 from lacewingcourse.core.pipelines.path import candidate_paths
 
-from .conftest import make_endpoint, make_five_zones, placed
+from .conftest import make_endpoint, make_five_zone_fleet, placed
 
 DEMAND = Demand(774, 203)
 
 
-def chooser_of(fleet, shape):
+def make_chooser(fleet, shape):
     """Return what chooses over an idle fleet."""
     return PathChooser(shape, {e.id: e for e in fleet}, LoadTable(), LinkUsage())
 
 
-def filled(chooser, paths, rng):
+def fill(chooser, paths, rng):
     """Fill the fleet with usual requests; return the paths that they took."""
     taken = []
     while True:
@@ -42,26 +42,26 @@
 
 
 def test_no_part_is_filled_beyond_its_share(fleet, shape, rng):
-    chooser = chooser_of(fleet, shape)
-    taken, refusal = filled(chooser, candidate_paths(fleet, shape), rng)
+    chooser = make_chooser(fleet, shape)
+    taken, refusal = fill(chooser, candidate_paths(fleet, shape), rng)
     assert refusal.kind is ErrorKind.OVERLOADED
     for endpoint in fleet:
         kind = shape.accelerators[endpoint.accelerator]
         room = shape.kv_capacity(kind, len(endpoint.layers))
-        assert chooser.loads.get(endpoint.id).token_layers <= room * ROOM_SHARE
+        assert chooser.loads.get(endpoint.id).token_layers <= room * MAX_MEMORY_SHARE
     assert len(taken) > 100
 
 
-def test_a_stream_that_its_caller_reads_gets_room_that_others_do_not(fleet, shape, rng):
-    chooser = chooser_of(fleet, shape)
+def test_a_resumed_stream_may_use_the_memory_kept_free(fleet, shape, rng):
+    chooser = make_chooser(fleet, shape)
     paths = candidate_paths(fleet, shape)
-    filled(chooser, paths, rng)
-    found = chooser.choose(paths, DEMAND, (), rng, 0.0, CONTINUED_ROOM_SHARE)
+    fill(chooser, paths, rng)
+    found = chooser.choose(paths, DEMAND, (), rng, 0.0, MAX_MEMORY_SHARE_RESUMED)
     assert not isinstance(found, Refusal)
 
 
 def test_requests_spread_over_many_endpoints_before_one_is_full(fleet, shape, rng):
-    chooser = chooser_of(fleet, shape)
+    chooser = make_chooser(fleet, shape)
     paths = candidate_paths(fleet, shape)
     for _ in range(60):
         chooser.loads.begin(chooser.choose(paths, DEMAND, (), rng, 0.0), DEMAND.tokens)
@@ -70,21 +70,21 @@
 
 
 def test_avoided_endpoints_are_not_used(fleet, shape, rng):
-    chooser = chooser_of(fleet, shape)
+    chooser = make_chooser(fleet, shape)
     paths = candidate_paths(fleet, shape)
     avoid = {part.endpoint for part in paths[0].parts}
     assert not chooser.choose(paths, DEMAND, avoid, rng, 0.0).uses(avoid)
 
 
 def test_the_first_part_takes_no_more_requests_than_its_slots(fleet, shape, rng):
-    chooser = chooser_of(fleet, shape)
+    chooser = make_chooser(fleet, shape)
     path, *_ = candidate_paths(fleet, shape)
     chooser.loads.from_peer("b", {path.first.endpoint: Load(0, shape.slots, 0)}, 0.0)
     assert not chooser.fits(path, DEMAND, 0.0)
 
 
-def test_loads_that_peers_told_count(fleet, shape, rng):
-    chooser = chooser_of(fleet, shape)
+def test_peer_loads_count_until_they_expire(fleet, shape, rng):
+    chooser = make_chooser(fleet, shape)
     paths = candidate_paths(fleet, shape)
     full = {e.id: Load(90, 0, 1e12) for e in fleet}
     chooser.loads.from_peer("b", full, now=0.0)
@@ -93,14 +93,14 @@
     assert not isinstance(chooser.choose(paths, DEMAND, (), rng, 0.0), Refusal)
 
 
-class Counted:
+class CountingLoads:
     """The loads of a fleet, counting the paths that were looked at by their firsts."""
 
     def __init__(self) -> None:
-        self.loads, self.looks = LoadTable(), 0
+        self.loads, self.lookups = LoadTable(), 0
 
     def get(self, endpoint):
-        self.looks += 1
+        self.lookups += 1
         return self.loads.get(endpoint)
 
     @property
@@ -108,21 +108,21 @@
         return self.loads.sums
 
 
-def test_a_request_looks_at_some_paths_of_many(fleet, shape, rng):
-    chooser = chooser_of(fleet, shape)
-    chooser.loads = Counted()
+def test_a_request_compares_a_sample_of_the_paths(fleet, shape, rng):
+    chooser = make_chooser(fleet, shape)
+    chooser.loads = CountingLoads()
     paths = candidate_paths(fleet, shape)
-    assert len(paths) > LOOKED_AT
+    assert len(paths) > PATH_SAMPLE_SIZE
     chooser.choose(paths, DEMAND, (), rng, 0.0)
-    assert chooser.loads.looks == LOOKED_AT
+    assert chooser.loads.lookups == PATH_SAMPLE_SIZE
 
 
-def serve(chooser, paths, rng, requests, running):
+def send_requests(chooser, paths, rng, requests, running):
     """Send requests one after another, some at a time; return the new connections.
 
     A connection that nobody used for 8 requests has been closed.
     """
-    idle, busy, made = {}, deque(), 0
+    idle, busy, connections_made = {}, deque(), 0
     for number in range(requests):
         if len(busy) >= running:
             ended = busy.popleft()
@@ -132,33 +132,33 @@
         path = chooser.choose(paths, DEMAND, (), rng, 0.0, connected=connected)
         chooser.loads.begin(path, DEMAND.tokens)
         busy.append(path)
-        made += path.first.address not in connected
+        connections_made += path.first.address not in connected
         idle.pop(path.first.address, None)
-    return made
+    return connections_made
 
 
-def test_an_entry_uses_the_connections_that_it_has(shape, rng):
+def test_paths_with_an_idle_connection_are_preferred(shape, rng):
     """Each endpoint of many was met after its last connection had been closed."""
-    many = placed(make_five_zones(), shape)
+    many = placed(make_five_zone_fleet(), shape)
     paths = candidate_paths(many, shape)
-    made = serve(chooser_of(many, shape), paths, rng, requests=200, running=6)
-    assert made <= 3 * 6
+    connections_made = send_requests(
+        make_chooser(many, shape), paths, rng, requests=200, running=6
+    )
+    assert connections_made <= 3 * 6
 
 
-def test_a_connection_does_not_outweigh_a_path_that_is_much_fuller(fleet, shape, rng):
-    chooser = chooser_of(fleet, shape)
+def test_a_much_fuller_path_is_not_chosen_for_its_connection(fleet, shape, rng):
+    chooser = make_chooser(fleet, shape)
     paths = candidate_paths(fleet, shape)
     for _ in range(3):
-        filled(chooser, paths[:1], rng)
+        fill(chooser, paths[:1], rng)
     connected = {paths[0].first.address}
     found = chooser.choose(paths, DEMAND, (), rng, 0.0, 2.0, connected)
     assert found.first != paths[0].first
 
 
-def test_no_request_is_refused_while_a_path_that_was_not_drawn_has_room(
-    fleet, shape, rng
-):
-    chooser = chooser_of(fleet, shape)
+def test_all_paths_are_compared_if_no_sampled_one_fits(fleet, shape, rng):
+    chooser = make_chooser(fleet, shape)
     paths = candidate_paths(fleet, shape)
     free = {part.endpoint for part in paths[-1].parts}
     full = {e.id: Load(90, 0, 1e12) for e in fleet if e.id not in free}
@@ -167,20 +167,20 @@
         assert not isinstance(chooser.choose(paths, DEMAND, (), rng, 0.0), Refusal)
 
 
-def test_drawn_paths_serve_nearly_as_much_as_all(fleet, shape, rng):
+def test_choosing_from_a_sample_serves_nearly_as_much_as_from_all(fleet, shape, rng):
     """The exact rule compares all candidates; the draw may cost a twentieth at most."""
     paths = candidate_paths(fleet, shape)
     rates = []
-    for looked_at in (len(paths), LOOKED_AT):
-        chooser = chooser_of(fleet, shape)
-        chooser.looked_at = looked_at
-        taken, _ = filled(chooser, paths, rng)
+    for sample_size in (len(paths), PATH_SAMPLE_SIZE):
+        chooser = make_chooser(fleet, shape)
+        chooser.sample_size = sample_size
+        taken, _ = fill(chooser, paths, rng)
         times = [chooser.predicted_ms(path, DEMAND, 0.0) for path in taken]
         rates.append(sum(1000.0 / time for time in times))
     assert rates[1] >= 0.95 * rates[0]
 
 
-def test_sums_of_loads_follow_each_change(fleet, shape):
+def test_the_sums_of_loads_follow_each_change(fleet, shape):
     loads = LoadTable()
     path, *_ = candidate_paths(fleet, shape)
     first = path.first.endpoint
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, 3, 4])
-def test_a_sum_without_some_peers_is_the_sum_of_the_others(fleet, shape, count):
+def test_total_counts_only_the_included_peers(fleet, shape, count):
     loads = LoadTable()
     paths = candidate_paths(fleet, shape)
     loads.begin(paths[0], 900)
--- a/packages/core/tests/pipelines/test_rating.py
+++ b/packages/core/tests/pipelines/test_rating.py
@@ -19,7 +19,7 @@
     FLEET,
     holding,
     make_endpoint,
-    make_five_zones,
+    make_five_zone_fleet,
     make_fleet,
     placed,
 )
@@ -28,7 +28,9 @@
 LEAST_SHARE = 0.9
 
 
-@pytest.mark.parametrize("fleet", [make_fleet(), make_five_zones()], ids=["33", "114"])
+@pytest.mark.parametrize(
+    "fleet", [make_fleet(), make_five_zone_fleet()], ids=["33", "114"]
+)
 def test_the_chosen_layout_serves_nearly_as_much_as_the_best(fleet, shape):
     """The best is found by filling each layout with requests one by one."""
     for group in groups_of(fleet, shape):
@@ -43,7 +45,7 @@
 def test_the_closed_form_ranks_layouts_much_as_filling_them_does(shape):
     """Of two layouts that differ by a fifth the better one is told in most cases."""
     agreed = compared = 0
-    for group in groups_of(make_five_zones(), shape):
+    for group in groups_of(make_five_zone_fleet(), shape):
         layouts = [_rated(copies, group, shape) for copies in copy_plans(group, shape)]
         rated = [(each.worth, rate_of(each.placed, shape)) for each in layouts]
         for one, other in itertools.combinations(rated, 2):
--- a/packages/relay/src/lacewingcourse/relay/path_finder.py
+++ b/packages/relay/src/lacewingcourse/relay/path_finder.py
@@ -8,8 +8,8 @@
 
 from lacewingcourse.core.errors import Refusal
 from lacewingcourse.core.pipelines.choice import (
-    CONTINUED_ROOM_SHARE,
-    ROOM_SHARE,
+    MAX_MEMORY_SHARE,
+    MAX_MEMORY_SHARE_RESUMED,
     Demand,
 )
 from lacewingcourse.relay.limited_choice import choose_within_limits, is_no_route
@@ -63,7 +63,7 @@
             demand: What it needs of a path.
             besides: Endpoints to avoid besides those that it avoids anyway.
         """
-        share = CONTINUED_ROOM_SHARE if job.caller.begun else ROOM_SHARE
+        share = MAX_MEMORY_SHARE_RESUMED if job.caller.begun else MAX_MEMORY_SHARE
         avoided = job.avoid.union(besides) if besides else job.avoid
         found = self._choose(job, shape, demand, avoided, share)
         if job.caller.begun and job.avoid and is_no_route(found):
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -172,7 +172,7 @@
     def _note_transfers(self, state: StreamState, path: Path, now: float) -> None:
         """Note the time that a prompt takes on the links of its path."""
         for pair in path.crossings:
-            seconds = state.shape.transfer_seconds(state.demand.prompt)
+            seconds = state.shape.transfer_seconds(state.demand.prompt_tokens)
             self.beliefs.links.record_transfer(pair, seconds, now)
 
     async def _run(
@@ -336,7 +336,7 @@
         shape = self.beliefs.shape(job.service)
         if shape is None:
             return 0.0
-        return self.beliefs.chooser(shape).filled(part)
+        return self.beliefs.chooser(shape).memory_share(part)
 
     def _kind(self, result: RunResult) -> ErrorKind:
         if result.end is StreamEnd.REJECTED:
--- a/packages/relay/tests/relay/test_beliefs.py
+++ b/packages/relay/tests/relay/test_beliefs.py
@@ -30,4 +30,4 @@
         beliefs.suspects.suspect("abcd"[turn % 4], "reset", now)
         paths = beliefs.paths("rooms", shape, now)
         beliefs.chooser(shape).choose(paths, Demand(100, 10), (), rng, now)
-    assert len(beliefs.chooser(shape).figures) <= len(paths)
+    assert len(beliefs.chooser(shape).costs_by_path) <= len(paths)
