--- a/packages/bench/src/lacewingcourse/bench/pipeline_play.py
+++ b/packages/bench/src/lacewingcourse/bench/pipeline_play.py
@@ -17,7 +17,7 @@
 
 from lacewingcourse.core.errors import Refusal
 from lacewingcourse.core.pipelines.admission_queue import WAITS, retry_after
-from lacewingcourse.core.pipelines.capacity import InTurn, fleet_bound
+from lacewingcourse.core.pipelines.capacity import RoundRobin, fleet_capacity
 from lacewingcourse.core.pipelines.choice import Demand, PathChooser
 from lacewingcourse.core.pipelines.layout import plan_layout
 from lacewingcourse.core.pipelines.links import LinkUsage
@@ -200,7 +200,9 @@
         self.paths: list[Path] = []
         self._place(list(plan.endpoints))
         placed = list(self.endpoints.values())
-        self.full_token_ms = fleet_bound(placed, self.shape, InTurn()).full_token_ms
+        self.full_token_ms = fleet_capacity(
+            placed, self.shape, RoundRobin()
+        ).full_token_ms
 
     def run(self) -> Result:
         """Play until all has ended or callers have left; return what callers got."""
--- a/packages/bench/src/lacewingcourse/bench/pipelines.py
+++ b/packages/bench/src/lacewingcourse/bench/pipelines.py
@@ -13,7 +13,7 @@
 from lacewingcourse.bench.pipeline_page import Played, write_page
 from lacewingcourse.bench.pipeline_play import CHOICES, Play
 from lacewingcourse.bench.sections import SECTIONS
-from lacewingcourse.core.pipelines.capacity import fleet_bound
+from lacewingcourse.core.pipelines.capacity import fleet_capacity
 from lacewingcourse.core.pipelines.layout import plan_layout
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
     members = list(plan.endpoints)
     layers = {a.endpoint: a.layers for a in plan_layout(members, plan.shape)}
     placed = [attrs.evolve(e, layers=layers.get(e.id)) for e in members]
-    bound = fleet_bound(placed, plan.shape, random.Random(0))
+    bound = fleet_capacity(placed, plan.shape, random.Random(0))
     return bound.requests_per_second if bound else 0.0
 
 
--- a/packages/core/src/lacewingcourse/core/pipelines/capacity.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/capacity.py
@@ -22,11 +22,11 @@
     from lacewingcourse.core.pipelines.shape import EngineShape
 
 #: Choices between two interruptions.
-CHOICES_A_STEP = 32
+CHOICES_PER_STEP = 32
 
 
 @attrs.frozen
-class FleetBound:
+class FleetCapacity:
     """What a fleet can serve of usual requests, with all memory taken.
 
     Attributes:
@@ -49,7 +49,7 @@
 
 
 @attrs.define
-class InTurn:
+class RoundRobin:
     """A source of draws without chance: equal choices are taken in turn.
 
     Attributes:
@@ -69,9 +69,9 @@
         return (found[start:] + found[:start])[:count]
 
 
-def fleet_bound(
+def fleet_capacity(
     endpoints: list[Endpoint], shape: EngineShape, rng: RandomSource
-) -> FleetBound | None:
+) -> FleetCapacity | None:
     """Return what endpoints can serve, None if no path holds every layer.
 
     The fleet is filled with usual requests by the same decisions that serve callers,
@@ -82,12 +82,12 @@
         shape: Published figures of their engines.
         rng: Source of draws among equal paths.
     """
-    return finish(fill_fleet(endpoints, shape, rng))
+    return finish(search_fleet_capacity(endpoints, shape, rng))
 
 
-def fill_fleet(
+def search_fleet_capacity(
     endpoints: list[Endpoint], shape: EngineShape, rng: RandomSource
-) -> Generator[None, None, FleetBound | None]:
+) -> Generator[None, None, FleetCapacity | None]:
     """Find what endpoints can serve, see `fleet_bound`.
 
     Yields where it may be interrupted.
@@ -97,20 +97,20 @@
         return None
     demand = Demand(shape.usual_prompt, shape.usual_answer)
     chooser = PathChooser(shape, {e.id: e for e in endpoints}, LoadTable(), LinkUsage())
-    taken = yield from _fill(chooser, paths, demand, rng)
+    taken = yield from _fill_with_requests(chooser, paths, demand, rng)
     times = [chooser.predicted_ms(path, demand, now=0.0) for path in taken]
-    return FleetBound(
+    return FleetCapacity(
         requests=len(taken),
         tokens=len(taken) * demand.tokens,
         requests_per_second=sum(1000.0 / time for time in times),
-        first_event_ms=_read_ms(chooser, paths[0], demand) + paths[0].token_ms,
+        first_event_ms=_prefill_ms(chooser, paths[0], demand) + paths[0].token_ms,
         idle_token_ms=paths[0].token_ms,
         full_token_ms=sum(times) / max(1, len(times)) / demand.answer_tokens,
         paths=len(paths),
     )
 
 
-def _fill(
+def _fill_with_requests(
     chooser: PathChooser, paths: list[Path], demand: Demand, rng: RandomSource
 ) -> Generator[None, None, list[Path]]:
     """Put requests on paths until none fits; return the path of each."""
@@ -121,11 +121,11 @@
             return taken
         chooser.loads.begin(path, demand.tokens)
         taken.append(path)
-        if len(taken) % CHOICES_A_STEP == 0:
+        if len(taken) % CHOICES_PER_STEP == 0:
             yield
 
 
-def _read_ms(chooser: PathChooser, path: Path, demand: Demand) -> float:
+def _prefill_ms(chooser: PathChooser, path: Path, demand: Demand) -> float:
     """Return the milliseconds in which an idle path reads a prompt."""
     total = 0.0
     for part in path.parts:
--- a/packages/core/src/lacewingcourse/core/pipelines/copies.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/copies.py
@@ -17,14 +17,14 @@
 
 #: Usual requests for which every copy of the model keeps memory at the least. Below
 #: that a copy is full while its accelerators idle.
-LEAST_REQUESTS = 12
+MIN_REQUESTS_PER_COPY = 12
 #: Usual requests for which copies are given memory at the most, as shares of those
 #: that an engine takes as the first of a path; more could not be filled by one first
 #: endpoint. Little memory keeps a copy on the fastest accelerators, much of it serves
 #: more at once, more slowly; which is better depends on the accelerators.
-ROOM_SHARES = (0.25, 0.5, 1.0)
+MEMORY_TARGETS = (0.25, 0.5, 1.0)
 #: Factor between the amounts of memory that are tried.
-ROOM_STEP = 1.15
+MEMORY_STEP_FACTOR = 1.15
 
 
 @attrs.frozen
@@ -40,7 +40,7 @@
     layers: Layers
 
 
-def span_for(endpoint: Endpoint, shape: EngineShape, tokens: float) -> int:
+def layers_that_fit(endpoint: Endpoint, shape: EngineShape, tokens: float) -> int:
     """Return how many layers leave memory for some tokens on an endpoint.
 
     Args:
@@ -76,23 +76,26 @@
 
     Yields where the search may be interrupted.
     """
-    usual = shape.mean_request_tokens
+    mean_tokens = shape.mean_request_tokens
     ordered = sorted(endpoints, key=lambda e: (slowness(e, shape), e.address))
     found: dict[tuple[Assignment, ...], None] = {}
-    for share in ROOM_SHARES:
-        most = share * shape.slots
+    for share in MEMORY_TARGETS:
+        max_requests = share * shape.slots
         by_count: dict[int, list[Copy]] = {}
-        requests = float(LEAST_REQUESTS)
-        while requests <= max(most, LEAST_REQUESTS):
+        requests = float(MIN_REQUESTS_PER_COPY)
+        while requests <= max(max_requests, MIN_REQUESTS_PER_COPY):
             yield
-            copies = _copies_with(ordered, shape, requests * usual)
+            copies = _form_copies(ordered, shape, requests * mean_tokens)
             by_count[len(copies)] = copies
-            requests *= ROOM_STEP
+            requests *= MEMORY_STEP_FACTOR
         by_count.pop(0, None)
         for copies in by_count.values():
             yield
-            wide = [_widen(copy, shape, most * usual) for copy in copies]
-            found[tuple(assignment for copy in wide for assignment in copy)] = None
+            enlarged = [
+                _maximise_memory(copy, shape, max_requests * mean_tokens)
+                for copy in copies
+            ]
+            found[tuple(assignment for copy in enlarged for assignment in copy)] = None
     return list(found)
 
 
@@ -109,7 +112,7 @@
     tokens: float
 
 
-def _copies_with(
+def _form_copies(
     endpoints: list[Endpoint], shape: EngineShape, tokens: float
 ) -> list[Copy]:
     """Return whole copies that each have memory for some tokens.
@@ -121,7 +124,7 @@
         shape: Published figures of their engines.
         tokens: Tokens for which each copy has memory at the least.
     """
-    spans = _spans(endpoints, shape, tokens)
+    spans = _spans_by_accelerator(endpoints, shape, tokens)
     copies: list[Copy] = []
     members: list[Endpoint] = []
     held = 0
@@ -137,19 +140,19 @@
     return copies
 
 
-def _spans(
+def _spans_by_accelerator(
     endpoints: Iterable[Endpoint], shape: EngineShape, tokens: float
 ) -> dict[str, int]:
     """Return how many layers leave memory for some tokens on each accelerator."""
     kinds = {endpoint.accelerator: endpoint for endpoint in endpoints}
-    return {kind: span_for(each, shape, tokens) for kind, each in kinds.items()}
+    return {kind: layers_that_fit(each, shape, tokens) for kind, each in kinds.items()}
 
 
-def _fill(
+def _assign_in_order(
     endpoints: Iterable[Endpoint], shape: EngineShape, tokens: float
 ) -> list[Assignment]:
     """Return one copy on the first endpoints that hold it; none if it does not fit."""
-    spans = _spans(endpoints, shape, tokens)
+    spans = _spans_by_accelerator(endpoints, shape, tokens)
     copy: list[Assignment] = []
     position = 0
     for endpoint in endpoints:
@@ -160,7 +163,9 @@
     return copy if position == shape.layers else []
 
 
-def _widen(copy: Copy, shape: EngineShape, most: float) -> list[Assignment]:
+def _maximise_memory(
+    copy: Copy, shape: EngineShape, max_tokens: float
+) -> list[Assignment]:
     """Return a copy with as much memory as its endpoints can give it.
 
     Otherwise the last member would hold only what is left over, and the others less
@@ -171,11 +176,11 @@
         shape: Published figures of its engines.
         most: Tokens for which it has memory at the most.
     """
-    low, high = copy.tokens, most
-    best = _fill(copy.members, shape, low)
+    low, high = copy.tokens, max_tokens
+    best = _assign_in_order(copy.members, shape, low)
     while high - low > shape.mean_request_tokens / 4:
         middle = (low + high) / 2
-        found = _fill(copy.members, shape, middle)
+        found = _assign_in_order(copy.members, shape, middle)
         if found:
             best, low = found, middle
         else:
--- a/packages/core/src/lacewingcourse/core/pipelines/improvement.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/improvement.py
@@ -10,15 +10,15 @@
 from lacewingcourse.core.pipelines.copies import Assignment, slowness
 from lacewingcourse.core.pipelines.interruption import finish
 from lacewingcourse.core.pipelines.layout import (
-    groups_of,
+    can_spare,
+    placement_groups,
     search_layout,
-    search_rate,
-    spares,
+    search_request_rate,
 )
 
 if TYPE_CHECKING:
     from lacewingcourse.core.pipelines.fleet import Endpoint
-    from lacewingcourse.core.pipelines.layout import Search
+    from lacewingcourse.core.pipelines.layout import LayoutSearch
     from lacewingcourse.core.pipelines.shape import EngineShape, Layers
 
 #: Gain in requests a second, as a factor, below which nothing is moved; the figures of
@@ -37,7 +37,7 @@
 
 def search_improvement(
     endpoints: list[Endpoint], shape: EngineShape, quiet: float, turn: int
-) -> Search:
+) -> LayoutSearch:
     """Look for moves that pay and can be made now without leaving a layer to nobody.
 
     Repairs fill gaps with what can be spared at that moment. When the endpoints that
@@ -55,7 +55,7 @@
         quiet: Seconds since the fleet last changed.
         turn: Counts the searches; it says which group is looked at.
     """
-    groups = groups_of(endpoints, shape)
+    groups = placement_groups(endpoints, shape)
     if not groups:
         return []
     group = groups[turn % len(groups)]
@@ -64,7 +64,9 @@
     return (yield from _search_moves(group, shape, quiet))
 
 
-def _search_moves(group: list[Endpoint], shape: EngineShape, quiet: float) -> Search:
+def _search_moves(
+    group: list[Endpoint], shape: EngineShape, quiet: float
+) -> LayoutSearch:
     """Look for the moves of a group that shares its copies."""
     empty = [attrs.evolve(e, layers=None) for e in group]
     fresh = yield from search_layout(empty, shape)
@@ -74,15 +76,15 @@
     if not astray:
         return []
     moved = [attrs.evolve(e, layers=wanted.get(e.id, e.layers)) for e in group]
-    before = yield from search_rate(group, shape)
-    after = yield from search_rate(moved, shape)
+    before = yield from search_request_rate(group, shape)
+    after = yield from search_request_rate(moved, shape)
     if after < LEAST_GAIN * before:
         return []
     moving = _possible(astray, group, shape)
     plan = [Assignment(e.id, wanted[e.id]) for e in moving]
     ids = {endpoint.id for endpoint in moving}
     staying = [e for e in group if e.id not in ids]
-    meanwhile = yield from search_rate(staying, shape)
+    meanwhile = yield from search_request_rate(staying, shape)
     lost = (before - meanwhile) * _seconds_of(plan, shape)
     return plan if (after - before) * quiet > lost else []
 
@@ -118,7 +120,7 @@
     staying = list(group)
     found: list[Endpoint] = []
     for endpoint in sorted(moves, key=lambda e: slowness(e, shape), reverse=True):
-        if spares(endpoint, staying, shape):
+        if can_spare(endpoint, staying, shape):
             found.append(endpoint)
             staying = [e for e in staying if e.id != endpoint.id]
     return found
--- a/packages/core/src/lacewingcourse/core/pipelines/layer_memory.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/layer_memory.py
@@ -16,7 +16,9 @@
     return _sum_by_layer(endpoints, shape, lambda accelerator: 1.0)
 
 
-def layer_strength(endpoints: Iterable[Endpoint], shape: EngineShape) -> list[float]:
+def speed_weighted_capacity(
+    endpoints: Iterable[Endpoint], shape: EngineShape
+) -> list[float]:
     """Return for each layer the tokens its holders have memory for, by their speed.
 
     Memory on a slow accelerator serves fewer tokens in a second: requests stay in it
--- a/packages/core/src/lacewingcourse/core/pipelines/rating.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/rate_estimate.py
@@ -32,8 +32,8 @@
     """
     rate = requests = 0.0
     for members in copies:
-        held = min(min(_requests(e, shape) for e in members), float(shape.slots))
-        rate += 1000.0 * held / _milliseconds(members, held, shape)
+        held = min(min(_max_requests(e, shape) for e in members), float(shape.slots))
+        rate += 1000.0 * held / _request_ms(members, held, shape)
         requests += held
     if not requests:
         return 0.0
@@ -45,7 +45,7 @@
     return rate * weakest / requests
 
 
-def _requests(endpoint: Endpoint, shape: EngineShape) -> float:
+def _max_requests(endpoint: Endpoint, shape: EngineShape) -> float:
     """Return the usual requests for which an endpoint has room in each layer."""
     held = len(endpoint.layers)
     accelerator = shape.accelerators[endpoint.accelerator]
@@ -53,7 +53,7 @@
     return tokens / shape.mean_request_tokens
 
 
-def _milliseconds(members: list[Endpoint], held: float, shape: EngineShape) -> float:
+def _request_ms(members: list[Endpoint], held: float, shape: EngineShape) -> float:
     """Return how long a copy takes for a request beside some others."""
     total = 0.0
     for endpoint in members:
--- a/packages/core/tests/pipelines/test_capacity.py
+++ b/packages/core/tests/pipelines/test_capacity.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lacewingcourse.core.pipelines.capacity import fleet_bound
+from lacewingcourse.core.pipelines.capacity import fleet_capacity
 
 from .conftest import KINDS, holding, make_endpoint, make_fleet, placed
 
@@ -20,8 +20,8 @@
 
 def test_the_layout_serves_more_than_an_equal_cut(shape, rng):
     members = make_fleet()
-    planned = fleet_bound(placed(members, shape), shape, rng)
-    equal = fleet_bound(equal_cut(members, shape), shape, rng)
+    planned = fleet_capacity(placed(members, shape), shape, rng)
+    equal = fleet_capacity(equal_cut(members, shape), shape, rng)
     assert planned.requests_per_second > 1.2 * equal.requests_per_second
     assert planned.idle_token_ms < equal.idle_token_ms
 
@@ -35,12 +35,12 @@
         span = min(most, shape.layers - position)
         held.append(holding(endpoint, position, position + span))
         position = (position + span) % shape.layers
-    planned = fleet_bound(placed(members, shape), shape, rng)
-    filled = fleet_bound(held, shape, rng)
+    planned = fleet_capacity(placed(members, shape), shape, rng)
+    filled = fleet_capacity(held, shape, rng)
     served = filled.requests_per_second if filled else 0.0
     assert planned.requests_per_second > 1.2 * served
 
 
 def test_a_fleet_with_a_gap_serves_nothing(shape, rng):
     held = [holding(make_endpoint("a", "large"), 0, 40)]
-    assert fleet_bound(held, shape, rng) is None
+    assert fleet_capacity(held, shape, rng) is None
--- a/packages/core/tests/pipelines/test_copies.py
+++ b/packages/core/tests/pipelines/test_copies.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.capacity import fleet_bound
+from lacewingcourse.core.pipelines.capacity import fleet_capacity
 from lacewingcourse.core.pipelines.copies import copy_plans
-from lacewingcourse.core.pipelines.layout import plan_layout, rate_of, sole_holders
+from lacewingcourse.core.pipelines.layout import plan_layout, request_rate, sole_holders
 from lacewingcourse.core.pipelines.shape import Accelerator
 
 from .conftest import make_endpoint, make_shape, placed
@@ -72,14 +72,14 @@
         assert len({a.endpoint for a in plan}) == len(plan)
 
 
-def test_memory_is_not_bought_with_layers_that_one_endpoint_alone_holds():
+def test_the_layout_prefers_fewer_sole_holders_over_the_highest_rate():
     """The plan with the most memory serves 20.5 a second, but 11 losses of 13 stop it.
 
     The one that is taken serves 18.4, and 7 losses stop it.
     """
     found = placed(group(SCARCE, "east"), SMALL)
     assert len(sole_holders(found, SMALL)) <= 7
-    assert rate_of(found, SMALL) >= 18.0
+    assert request_rate(found, SMALL) >= 18.0
 
 
 def test_a_large_fleet_serves_its_load_after_any_single_loss():
@@ -90,11 +90,11 @@
     """
     fleet = [e for i, kinds in enumerate(AMPLE) for e in group(kinds, f"zone{i}")]
     found = placed(fleet, LARGE)
-    bound = fleet_bound(found, LARGE, random.Random(0))
+    bound = fleet_capacity(found, LARGE, random.Random(0))
     assert bound.requests_per_second >= 105.0
     for index in range(0, len(found), 4):
         left = [e for e in found if e is not found[index]]
-        after = fleet_bound(left, LARGE, random.Random(0))
+        after = fleet_capacity(left, LARGE, random.Random(0))
         assert after.requests_per_second >= 90.0
 
 
--- a/packages/core/tests/pipelines/test_improvement.py
+++ b/packages/core/tests/pipelines/test_improvement.py
@@ -7,9 +7,9 @@
 import attrs
 import pytest
 
-from lacewingcourse.core.pipelines.capacity import fleet_bound
+from lacewingcourse.core.pipelines.capacity import fleet_capacity
 from lacewingcourse.core.pipelines.improvement import plan_improvement
-from lacewingcourse.core.pipelines.layout import layer_strength, plan_layout
+from lacewingcourse.core.pipelines.layout import plan_layout, speed_weighted_capacity
 
 from .conftest import make_fleet
 
@@ -33,7 +33,7 @@
 
 def rate_of(endpoints, shape):
     """Return the requests a second that endpoints can serve."""
-    return fleet_bound(endpoints, shape, Random(0)).requests_per_second
+    return fleet_capacity(endpoints, shape, Random(0)).requests_per_second
 
 
 @pytest.fixture
@@ -71,7 +71,7 @@
         if not moves:
             break
         staying = [e for e in fleet if e.id not in moves]
-        assert min(layer_strength(staying, shape)) > 0
+        assert min(speed_weighted_capacity(staying, shape)) > 0
         fleet = [attrs.evolve(e, layers=moves.get(e.id, e.layers)) for e in fleet]
     assert moves == {}
     assert rate_of(fleet, shape) > 0.9 * best
--- a/packages/core/tests/pipelines/test_layout.py
+++ b/packages/core/tests/pipelines/test_layout.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lacewingcourse.core.pipelines.copies import LEAST_REQUESTS, span_for
+from lacewingcourse.core.pipelines.copies import MIN_REQUESTS_PER_COPY, layers_that_fit
 from lacewingcourse.core.pipelines.layout import plan_layout, token_capacity
 from lacewingcourse.core.pipelines.path import LOCAL_HOP_MS, candidate_paths
 from lacewingcourse.core.pipelines.shape import Layers
@@ -23,14 +23,14 @@
     assert all(fits(e, e.layers, shape) for e in fleet)
 
 
-def test_every_zone_that_can_holds_every_layer(fleet, shape):
+def test_each_zone_holds_every_layer(fleet, shape):
     for zone in ("east", "middle", "west"):
         members = [e for e in fleet if e.zone == zone]
         assert min(token_capacity(members, shape)) > 0
 
 
 def test_every_layer_has_memory_for_the_least_number_of_requests(fleet, shape):
-    least = LEAST_REQUESTS * shape.mean_request_tokens
+    least = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
     assert min(token_capacity(fleet, shape)) >= 3 * least
 
 
@@ -69,8 +69,8 @@
     members = [make_endpoint(f"{z}{i}", "large", z) for z in "xy" for i in range(2)]
     for zone in "xy":
         alone = [e for e in members if e.zone == zone]
-        least = LEAST_REQUESTS * shape.mean_request_tokens
-        assert sum(span_for(e, shape, least) for e in alone) < shape.layers
+        least = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
+        assert sum(layers_that_fit(e, shape, least) for e in alone) < shape.layers
     assert min(token_capacity(placed(members, shape), shape)) > 0
 
 
@@ -90,10 +90,12 @@
 
 def best_token_ms(members, shape):
     """Return the least time of a token over all ways to cut the layers."""
-    least = LEAST_REQUESTS * shape.mean_request_tokens
+    least = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
     best = float("inf")
     for chosen in itertools.permutations(members):
-        for spans in cuts([span_for(e, shape, least) for e in chosen], shape.layers):
+        for spans in cuts(
+            [layers_that_fit(e, shape, least) for e in chosen], shape.layers
+        ):
             position, held = 0, []
             for endpoint, span in zip(chosen, spans, strict=False):
                 if span:
@@ -121,7 +123,7 @@
     assert {a.endpoint: a.layers for a in plan_layout(members[::-1], shape)} == plan
 
 
-def test_ranges_tell_what_they_cover():
+def test_a_range_covers_only_ranges_within_it():
     assert Layers(0, 10).covers(Layers(3, 10))
     assert not Layers(3, 10).covers(Layers(0, 4))
 
--- a/packages/core/tests/pipelines/test_rating.py
+++ b/packages/core/tests/pipelines/test_rate_estimate.py
@@ -8,12 +8,12 @@
 
 from lacewingcourse.core.pipelines.copies import copy_plans
 from lacewingcourse.core.pipelines.layout import (
-    _rated,
-    groups_of,
-    rate_of,
+    _rate_layout,
+    placement_groups,
+    request_rate,
     search_layout,
 )
-from lacewingcourse.core.pipelines.rating import estimated_rate
+from lacewingcourse.core.pipelines.rate_estimate import estimated_rate
 
 from .conftest import (
     FLEET,
@@ -33,21 +33,30 @@
 )
 def test_the_chosen_layout_serves_nearly_as_much_as_the_best(fleet, shape):
     """The best is found by filling each layout with requests one by one."""
-    for group in groups_of(fleet, shape):
-        layouts = [_rated(copies, group, shape) for copies in copy_plans(group, shape)]
-        best = max(rate_of(layout.placed, shape) * layout.safety for layout in layouts)
+    for group in placement_groups(fleet, shape):
+        layouts = [
+            _rate_layout(copies, group, shape) for copies in copy_plans(group, shape)
+        ]
+        best = max(
+            request_rate(layout.placed, shape) * layout.loss_factor
+            for layout in layouts
+        )
         chosen = placed(group, shape)
         assert any(layout.placed == chosen for layout in layouts)
-        (safety,) = {each.safety for each in layouts if each.placed == chosen}
-        assert rate_of(chosen, shape) * safety >= LEAST_SHARE * best
+        (loss_factor,) = {each.loss_factor for each in layouts if each.placed == chosen}
+        assert request_rate(chosen, shape) * loss_factor >= LEAST_SHARE * best
 
 
-def test_the_closed_form_ranks_layouts_much_as_filling_them_does(shape):
+def test_the_estimate_ranks_layouts_much_as_filling_them_does(shape):
     """Of two layouts that differ by a fifth the better one is told in most cases."""
     agreed = compared = 0
-    for group in groups_of(make_five_zone_fleet(), shape):
-        layouts = [_rated(copies, group, shape) for copies in copy_plans(group, shape)]
-        rated = [(each.worth, rate_of(each.placed, shape)) for each in layouts]
+    for group in placement_groups(make_five_zone_fleet(), shape):
+        layouts = [
+            _rate_layout(copies, group, shape) for copies in copy_plans(group, shape)
+        ]
+        rated = [
+            (each.expected_rate, request_rate(each.placed, shape)) for each in layouts
+        ]
         for one, other in itertools.combinations(rated, 2):
             if max(one[1], other[1]) >= 1.2 * min(one[1], other[1]):
                 compared += 1
@@ -71,7 +80,7 @@
     assert estimated_rate([copy], more, shape) > 1.5 * alone
 
 
-def test_a_search_may_be_interrupted_often(shape):
+def test_a_layout_search_yields_often(shape):
     """An entry that searched in a few long steps looked dead to all others."""
     zones = {zone for zone, _, _ in FLEET}
     steps = sum(1 for _ in search_layout(make_fleet(), shape))
--- a/packages/relay/src/lacewingcourse/relay/placement_duty.py
+++ b/packages/relay/src/lacewingcourse/relay/placement_duty.py
@@ -10,14 +10,14 @@
 
 from lacewingcourse.core.pipelines.copies import Assignment
 from lacewingcourse.core.pipelines.improvement import search_improvement
-from lacewingcourse.core.pipelines.layout import groups_of, search_group
+from lacewingcourse.core.pipelines.layout import placement_groups, search_group_layout
 from lacewingcourse.relay.ports import EngineReport, Lease, OrderOutcome, Unavailable
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from lacewingcourse.core.pipelines.fleet import Endpoint
-    from lacewingcourse.core.pipelines.layout import Search
+    from lacewingcourse.core.pipelines.layout import LayoutSearch
     from lacewingcourse.core.pipelines.shape import EngineShape
     from lacewingcourse.relay.beliefs import Beliefs
     from lacewingcourse.relay.decisions import DecisionLog
@@ -153,8 +153,8 @@
         if holds_nothing and now - self.grown_at < SETTLE:
             return
         given: list[asyncio.Task] = []
-        for group in groups_of(endpoints, shape):
-            plan = await in_slices(search_group(group, shape))
+        for group in placement_groups(endpoints, shape):
+            plan = await in_slices(search_group_layout(group, shape))
             given += await self._give(plan, shape, now)
         if not given:
             plan = await self._improvement(service, endpoints, shape, now)
@@ -325,7 +325,7 @@
             self.pending.pop(endpoint.id, None)
 
 
-async def in_slices(search: Search) -> list[Assignment]:
+async def in_slices(search: LayoutSearch) -> list[Assignment]:
     """Return what a search finds, passing events on between its steps.
 
     Steps of a few tens of microseconds go together: passing events on costs as much.
