--- a/packages/core/src/lacewingcourse/core/pipelines/improvement.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/rebalancing.py
@@ -23,20 +23,26 @@
 
 #: Gain in requests a second, as a factor, below which nothing is moved; the figures of
 #: a fleet with other cut points differ by a few in a hundred without meaning.
-LEAST_GAIN = 1.08
+MIN_GAIN_FACTOR = 1.08
 #: Seconds until the streams that pass through an endpoint have ended, for nearly all.
-STREAM_SECONDS = 5.0
+STREAM_DRAIN_SECONDS = 5.0
 
 
-def plan_improvement(
-    endpoints: list[Endpoint], shape: EngineShape, quiet: float, turn: int
+def plan_rebalancing(
+    endpoints: list[Endpoint],
+    shape: EngineShape,
+    stable_seconds: float,
+    search_index: int,
 ) -> list[Assignment]:
     """Return moves that pay and can be made now, see `search_improvement`."""
-    return finish(search_improvement(endpoints, shape, quiet, turn))
+    return finish(search_rebalancing(endpoints, shape, stable_seconds, search_index))
 
 
-def search_improvement(
-    endpoints: list[Endpoint], shape: EngineShape, quiet: float, turn: int
+def search_rebalancing(
+    endpoints: list[Endpoint],
+    shape: EngineShape,
+    stable_seconds: float,
+    search_index: int,
 ) -> LayoutSearch:
     """Look for moves that pay and can be made now without leaving a layer to nobody.
 
@@ -58,62 +64,62 @@
     groups = placement_groups(endpoints, shape)
     if not groups:
         return []
-    group = groups[turn % len(groups)]
+    group = groups[search_index % len(groups)]
     if any(e.layers is None or not len(e.layers) for e in group):
         return []
-    return (yield from _search_moves(group, shape, quiet))
+    return (yield from _search_moves(group, shape, stable_seconds))
 
 
 def _search_moves(
-    group: list[Endpoint], shape: EngineShape, quiet: float
+    group: list[Endpoint], shape: EngineShape, stable_seconds: float
 ) -> LayoutSearch:
     """Look for the moves of a group that shares its copies."""
     empty = [attrs.evolve(e, layers=None) for e in group]
-    fresh = yield from search_layout(empty, shape)
+    fresh_plan = yield from search_layout(empty, shape)
     kinds = {e.id: e.accelerator for e in group}
-    wanted = _nearest(group, [(kinds[a.endpoint], a.layers) for a in fresh])
-    astray = [e for e in group if wanted.get(e.id, e.layers) != e.layers]
-    if not astray:
+    targets = _match_ranges(group, [(kinds[a.endpoint], a.layers) for a in fresh_plan])
+    misplaced = [e for e in group if targets.get(e.id, e.layers) != e.layers]
+    if not misplaced:
         return []
-    moved = [attrs.evolve(e, layers=wanted.get(e.id, e.layers)) for e in group]
-    before = yield from search_request_rate(group, shape)
-    after = yield from search_request_rate(moved, shape)
-    if after < LEAST_GAIN * before:
+    moved = [attrs.evolve(e, layers=targets.get(e.id, e.layers)) for e in group]
+    rate_before = yield from search_request_rate(group, shape)
+    rate_after = yield from search_request_rate(moved, shape)
+    if rate_after < MIN_GAIN_FACTOR * rate_before:
         return []
-    moving = _possible(astray, group, shape)
-    plan = [Assignment(e.id, wanted[e.id]) for e in moving]
+    moving = _movable_together(misplaced, group, shape)
+    plan = [Assignment(e.id, targets[e.id]) for e in moving]
     ids = {endpoint.id for endpoint in moving}
     staying = [e for e in group if e.id not in ids]
-    meanwhile = yield from search_request_rate(staying, shape)
-    lost = (before - meanwhile) * _seconds_of(plan, shape)
-    return plan if (after - before) * quiet > lost else []
+    rate_during_moves = yield from search_request_rate(staying, shape)
+    lost = (rate_before - rate_during_moves) * _move_seconds(plan, shape)
+    return plan if (rate_after - rate_before) * stable_seconds > lost else []
 
 
-def _seconds_of(plan: list[Assignment], shape: EngineShape) -> float:
+def _move_seconds(plan: list[Assignment], shape: EngineShape) -> float:
     """Return how long moves take, one load after another after the last stream."""
     share = sum(len(assignment.layers) for assignment in plan) / shape.layers
-    return STREAM_SECONDS + share * shape.load_seconds
+    return STREAM_DRAIN_SECONDS + share * shape.load_seconds
 
 
-def _nearest(
+def _match_ranges(
     group: list[Endpoint], ranges: list[tuple[str, Layers]]
 ) -> dict[str, Layers]:
     """Give ranges to endpoints of their accelerators so that most stay in place."""
-    left: dict[str, list[Layers]] = defaultdict(list)
+    unassigned: dict[str, list[Layers]] = defaultdict(list)
     for kind, layers in ranges:
-        left[kind].append(layers)
+        unassigned[kind].append(layers)
     found: dict[str, Layers] = {}
     for endpoint in group:
-        if endpoint.layers in left[endpoint.accelerator]:
-            left[endpoint.accelerator].remove(endpoint.layers)
+        if endpoint.layers in unassigned[endpoint.accelerator]:
+            unassigned[endpoint.accelerator].remove(endpoint.layers)
             found[endpoint.id] = endpoint.layers
     for endpoint in group:
-        if endpoint.id not in found and left[endpoint.accelerator]:
-            found[endpoint.id] = left[endpoint.accelerator].pop(0)
+        if endpoint.id not in found and unassigned[endpoint.accelerator]:
+            found[endpoint.id] = unassigned[endpoint.accelerator].pop(0)
     return found
 
 
-def _possible(
+def _movable_together(
     moves: list[Endpoint], group: list[Endpoint], shape: EngineShape
 ) -> list[Endpoint]:
     """Return the endpoints that can be spared together while they move."""
--- a/packages/core/tests/pipelines/test_improvement.py
+++ b/packages/core/tests/pipelines/test_rebalancing.py
@@ -8,24 +8,27 @@
 import pytest
 
 from lacewingcourse.core.pipelines.capacity import fleet_capacity
-from lacewingcourse.core.pipelines.improvement import plan_improvement
 from lacewingcourse.core.pipelines.layout import plan_layout, speed_weighted_capacity
+from lacewingcourse.core.pipelines.rebalancing import plan_rebalancing
 
 from .conftest import make_fleet
 
 #: Seconds of quiet after which any gain pays.
-LONG = 3600.0
+LONG_STABLE_SECONDS = 3600.0
 #: Availability zones, each with a group of its own.
 ZONES = 3
 
 
-def moves_of(endpoints, shape, quiet=LONG):
+def moves_of(endpoints, shape, stable_seconds=LONG_STABLE_SECONDS):
     """Return the moves of all groups."""
-    found = [plan_improvement(endpoints, shape, quiet, turn) for turn in range(ZONES)]
+    found = [
+        plan_rebalancing(endpoints, shape, stable_seconds, search_index)
+        for search_index in range(ZONES)
+    ]
     return {a.endpoint: a.layers for moves in found for a in moves}
 
 
-def laid_out(endpoints, shape):
+def apply_layout(endpoints, shape):
     """Return endpoints with the layers of a plan, those that hold some kept."""
     layers = {a.endpoint: a.layers for a in plan_layout(endpoints, shape)}
     return [attrs.evolve(e, layers=layers.get(e.id, e.layers)) for e in endpoints]
@@ -39,15 +42,15 @@
 @pytest.fixture
 def fleet(shape):
     """A fleet of three zones, laid out."""
-    return laid_out(make_fleet(), shape)
+    return apply_layout(make_fleet(), shape)
 
 
 def lose_and_return(fleet, shape, index):
     """Return a fleet that repaired the loss of an endpoint which then came back."""
     lost = fleet[index]
-    repaired = laid_out([e for e in fleet if e.id != lost.id], shape)
-    came = attrs.evolve(lost, id=f"{lost.id}-new", layers=None)
-    return laid_out([*repaired, came], shape)
+    repaired = apply_layout([e for e in fleet if e.id != lost.id], shape)
+    returned = attrs.evolve(lost, id=f"{lost.id}-new", layers=None)
+    return apply_layout([*repaired, returned], shape)
 
 
 def test_a_fresh_layout_is_left_alone(fleet, shape):
@@ -63,7 +66,7 @@
 
 
 @pytest.mark.parametrize("index", range(0, 33, 4))
-def test_a_fleet_comes_back_to_what_it_could_serve(fleet, shape, index):
+def test_rebalancing_restores_the_request_rate(fleet, shape, index):
     best = rate_of(fleet, shape)
     fleet = lose_and_return(fleet, shape, index)
     for _ in range(12):
@@ -77,8 +80,8 @@
     assert rate_of(fleet, shape) > 0.9 * best
 
 
-def test_a_fleet_that_keeps_changing_is_left_alone(fleet, shape):
+def test_a_fleet_that_has_just_changed_is_left_alone(fleet, shape):
     """A move takes longer than such a fleet stays as it is."""
     fleet = lose_and_return(fleet, shape, 8)
     assert moves_of(fleet, shape)
-    assert moves_of(fleet, shape, quiet=0.0) == {}
+    assert moves_of(fleet, shape, stable_seconds=0.0) == {}
--- a/packages/relay/src/lacewingcourse/relay/placement_duty.py
+++ b/packages/relay/src/lacewingcourse/relay/placement_duty.py
@@ -9,8 +9,8 @@
 import attrs
 
 from lacewingcourse.core.pipelines.copies import Assignment
-from lacewingcourse.core.pipelines.improvement import search_improvement
 from lacewingcourse.core.pipelines.layout import placement_groups, search_group_layout
+from lacewingcourse.core.pipelines.rebalancing import search_rebalancing
 from lacewingcourse.relay.ports import EngineReport, Lease, OrderOutcome, Unavailable
 
 if TYPE_CHECKING:
@@ -215,7 +215,7 @@
         if turn >= groups * looks:
             return []
         self.turns[service] = turn + 1
-        found = await in_slices(search_improvement(endpoints, shape, quiet, turn))
+        found = await in_slices(search_rebalancing(endpoints, shape, quiet, turn))
         return found if self.beliefs.fleet.revision == self.revision else []
 
     async def _may_order(self) -> bool:
