--- a/packages/core/src/lacewingcourse/core/pipelines/fleet.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/fleet.py
@@ -15,13 +15,13 @@
 
 #: Seconds after the return of a directory that was away in which endpoints that
 #: lapsed meanwhile are kept: they register again within about two seconds.
-RETURN_GRACE = 2.0
+REREGISTRATION_GRACE = 2.0
 #: Seconds without an answer after which the directory was away. Entries lapse after
 #: three heartbeats of about a second, so none lapses in a shorter time.
-AWAY_AFTER = 2.0
+OUTAGE_AFTER = 2.0
 #: Endpoints that are gone of which the last entry is remembered, so that an entry
 #: that was written before it and arrives after it does not bring them back.
-MOST_ENDED = 512
+MAX_ENDED = 512
 
 
 class EntryEffect(Enum):
@@ -124,7 +124,7 @@
             recognised: Whether its service is configured. Only then does it take the
                 place of another endpoint at its address.
         """
-        known = self.named(endpoint.name)
+        known = self.current_incarnation(endpoint.name)
         last = known or self.ended.get(endpoint.name)
         if last is not None and endpoint.is_outdated(last):
             return EntryEffect.OUTDATED
@@ -142,16 +142,16 @@
         self.revision += 1
         return EntryEffect.RESTARTED if restarted else EntryEffect.CHANGED
 
-    def named(self, name: str) -> Endpoint | None:
+    def current_incarnation(self, name: str) -> Endpoint | None:
         """Return the present incarnation of an endpoint, None if there is none."""
         return self.endpoints.get(self.ids.get(name, ""))
 
-    def note_start(self, name: str, born: int) -> bool:
+    def record_start(self, name: str, born: int) -> bool:
         """Take from an endpoint's own word when it started; tell whether that is new.
 
         An endpoint that started again holds nothing, whatever its last entry says.
         """
-        known = self.named(name)
+        known = self.current_incarnation(name)
         if known is None or not Incarnation(name, born).replaces(known.incarnation):
             return False
         identifier = Incarnation(name, born).id
@@ -167,10 +167,10 @@
         An entry that lapsed while the directory was away is kept until the endpoint
         had time to register again.
         """
-        known = self.named(name)
+        known = self.current_incarnation(name)
         if known is None:
             return False
-        until = self.returned_at + RETURN_GRACE
+        until = self.returned_at + REREGISTRATION_GRACE
         if now < until:
             self.lapsed.setdefault(known.id, until)
             return False
@@ -194,7 +194,7 @@
         After a time in which it told nothing to anybody, entries may be missing only
         because their endpoints could not write them.
         """
-        if at - self.known_at > AWAY_AFTER and self.endpoints:
+        if at - self.known_at > OUTAGE_AFTER and self.endpoints:
             self.returned_at = at
         self.known_at = max(self.known_at, at)
 
@@ -229,5 +229,5 @@
             del self.ids[found.name]
         self.ended.pop(found.name, None)
         self.ended[found.name] = found
-        while len(self.ended) > MOST_ENDED:
+        while len(self.ended) > MAX_ENDED:
             del self.ended[next(iter(self.ended))]
--- a/packages/core/tests/pipelines/test_fleet.py
+++ b/packages/core/tests/pipelines/test_fleet.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from lacewingcourse.core.pipelines.fleet import RETURN_GRACE, EntryEffect, Fleet
+from lacewingcourse.core.pipelines.fleet import REREGISTRATION_GRACE, EntryEffect, Fleet
 from lacewingcourse.core.pipelines.shape import Layers
 
 from .conftest import holding, make_endpoint, make_shape
@@ -13,7 +13,7 @@
 A = make_endpoint("a", "large")
 
 
-def test_an_entry_that_tells_nothing_new_changes_nothing():
+def test_an_unchanged_entry_keeps_the_revision():
     fleet = Fleet()
     assert fleet.put(A) is EntryEffect.CHANGED
     revision = fleet.revision
@@ -48,7 +48,7 @@
     assert not fleet.remove("a", now=20.1)
     assert fleet.of_service("rooms") == [A]
     assert fleet.expire(now=20.1) == []
-    assert fleet.expire(now=20.0 + RETURN_GRACE) == ["a"]
+    assert fleet.expire(now=20.0 + REREGISTRATION_GRACE) == ["a"]
 
 
 def test_an_entry_that_comes_back_after_an_outage_stays():
@@ -59,7 +59,7 @@
     assert fleet.of_service("rooms") == [A]
 
 
-def test_an_entry_removed_while_others_tell_of_the_directory_is_gone_at_once():
+def test_a_removed_entry_is_dropped_at_once_while_listings_are_confirmed():
     """An entry that is turned away itself hears of the end of an endpoint."""
     fleet = Fleet()
     fleet.put(A)
@@ -68,11 +68,11 @@
     assert fleet.remove("a", now=9.1)
 
 
-def test_a_removal_told_twice_keeps_an_endpoint_no_longer():
+def test_a_repeated_removal_does_not_extend_the_grace_period():
     fleet = fleet_after_outage()
     fleet.remove("a", now=20.1)
     fleet.remove("a", now=21.9)
-    assert fleet.expire(now=20.0 + RETURN_GRACE) == ["a"]
+    assert fleet.expire(now=20.0 + REREGISTRATION_GRACE) == ["a"]
 
 
 def test_a_new_incarnation_takes_the_place_of_the_old_one():
@@ -82,7 +82,7 @@
     assert [e.id for e in fleet.of_service("rooms")] == ["a2"]
 
 
-def test_a_listing_ends_what_it_does_not_hold():
+def test_a_listing_removes_the_endpoints_it_lacks():
     fleet = Fleet()
     fleet.put(A)
     fleet.put(make_endpoint("b", "large"))
@@ -104,5 +104,5 @@
         ({"accelerator": ""}, False),
     ],
 )
-def test_an_endpoint_that_cannot_be_what_it_tells_fits_no_service(changes, fits):
+def test_an_endpoint_with_impossible_layers_or_accelerator_does_not_fit(changes, fits):
     assert attrs.evolve(A, **changes).fits(make_shape()) is fits
--- a/packages/core/tests/pipelines/test_incarnation.py
+++ b/packages/core/tests/pipelines/test_incarnation.py
@@ -42,7 +42,7 @@
 def test_what_is_believed_of_an_incarnation_ends_with_it(fleet):
     assert fleet.put(entry(200, 1)) is EntryEffect.RESTARTED
     assert list(fleet.endpoints) == ["a@200"]
-    assert fleet.named("a").layers is None
+    assert fleet.current_incarnation("a").layers is None
     assert fleet.of_service("rooms") == [entry(200)]
 
 
@@ -51,7 +51,7 @@
     revision = fleet.revision
     assert fleet.put(holding(entry(100, 9), 0, 20)) is EntryEffect.OUTDATED
     assert fleet.put(holding(entry(0, 9), 0, 20)) is EntryEffect.OUTDATED
-    assert fleet.named("a").layers is None
+    assert fleet.current_incarnation("a").layers is None
     assert fleet.revision == revision
 
 
@@ -65,12 +65,12 @@
     fleet = Fleet()
     fleet.put(holding(entry(0, 9), 0, 20))
     assert fleet.put(entry(0, 1)) is EntryEffect.CHANGED
-    assert fleet.named("a").layers is None
+    assert fleet.current_incarnation("a").layers is None
 
 
 def test_an_entry_that_only_counts_on_changes_nothing(fleet):
     assert fleet.put(holding(entry(100, 8), 0, 20)) is EntryEffect.NOTHING
-    assert fleet.named("a").sequence == 8
+    assert fleet.current_incarnation("a").sequence == 8
 
 
 def test_a_late_entry_does_not_bring_back_an_endpoint_that_is_gone(fleet):
@@ -82,11 +82,11 @@
 
 
 def test_an_endpoint_that_says_when_it_started_holds_nothing_of_before(fleet):
-    assert not fleet.note_start("a", 100)
-    assert not fleet.note_start("a", 0)
-    assert not fleet.note_start("b", 300)
-    assert fleet.note_start("a", 300)
-    assert fleet.named("a").layers is None
+    assert not fleet.record_start("a", 100)
+    assert not fleet.record_start("a", 0)
+    assert not fleet.record_start("b", 300)
+    assert fleet.record_start("a", 300)
+    assert fleet.current_incarnation("a").layers is None
     assert fleet.put(holding(entry(100, 9), 0, 20)) is EntryEffect.OUTDATED
 
 
--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -354,7 +354,7 @@
 
     def _on_start(self, name: str, born: int) -> bool:
         """Take from an endpoint when it started; tell whether that is new."""
-        if not self.beliefs.fleet.note_start(name, born):
+        if not self.beliefs.fleet.record_start(name, born):
             return False
         self.log.belief("endpoint_restarted", endpoint=name, born=born)
         return True
--- a/packages/relay/src/lacewingcourse/relay/followers.py
+++ b/packages/relay/src/lacewingcourse/relay/followers.py
@@ -316,7 +316,7 @@
 
     def _put(self, endpoint: Endpoint, told: bool) -> bool:
         """Take an entry that names an endpoint; tell whether it changed anything."""
-        known = self.beliefs.fleet.named(endpoint.name)
+        known = self.beliefs.fleet.current_incarnation(endpoint.name)
         recognised = self.beliefs.is_configured(endpoint)
         effect = self.beliefs.fleet.put(endpoint, recognised)
         changed = effect in (EntryEffect.CHANGED, EntryEffect.RESTARTED)
