--- a/packages/core/src/lacewingcourse/core/pipelines/routing.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/routing.py
@@ -55,7 +55,7 @@
     objective: float
     gap: float
     priority: int
-    most_attempts: int
+    max_attempts: int
     needs_key: bool
 
     def service_for(self, request_id: str) -> str:
--- a/packages/core/tests/pipelines/test_routing.py
+++ b/packages/core/tests/pipelines/test_routing.py
@@ -25,7 +25,7 @@
     objective=0.5,
     gap=0.2,
     priority=1,
-    most_attempts=2,
+    max_attempts=2,
     needs_key=True,
 )
 SHORT = attrs.evolve(LONG, name="short", prefix="/rooms/", needs_key=False)
@@ -63,7 +63,7 @@
     assert table.route(host, path).kind is ErrorKind.UNKNOWN_RESOURCE
 
 
-def test_a_key_names_its_organisation(table):
+def test_a_known_key_resolves_to_its_organisation(table):
     assert table.organisation(LONG, "secret").name == "blue"
 
 
@@ -73,7 +73,7 @@
     assert not isinstance(table.organisation(SHORT, key), Refusal)
 
 
-def test_an_older_version_never_takes_the_place_of_a_newer_one(table):
+def test_only_a_newer_version_replaces_the_current_one(table):
     assert is_newer(table, None)
     assert not is_newer(table, table)
     assert not is_newer(attrs.evolve(table, version=6), table)
--- a/packages/relay/src/lacewingcourse/relay/job.py
+++ b/packages/relay/src/lacewingcourse/relay/job.py
@@ -103,7 +103,7 @@
         route allows.
         """
         runs = self.sends - self.rejections
-        if runs >= self.route.most_attempts or self.caller.gone:
+        if runs >= self.route.max_attempts or self.caller.gone:
             return False
         if self.rejections > MOST_REJECTIONS:
             return False
@@ -113,7 +113,7 @@
     @property
     def only_firsts(self) -> set[str] | None:
         """Endpoints that it may be sent to, None for any."""
-        return self.firsts if len(self.firsts) >= self.route.most_attempts else None
+        return self.firsts if len(self.firsts) >= self.route.max_attempts else None
 
     @property
     def may_try_another(self) -> bool:
--- a/packages/relay/tests/relay/routes.py
+++ b/packages/relay/tests/relay/routes.py
@@ -31,6 +31,6 @@
         objective=objective,
         gap=0.2,
         priority=1,
-        most_attempts=attempts,
+        max_attempts=attempts,
         needs_key=False,
     )
--- a/packages/relay/tests/relay/test_streams.py
+++ b/packages/relay/tests/relay/test_streams.py
@@ -150,7 +150,7 @@
         service="rooms",
         caller=SimpleNamespace(gone=False, begun=False),
         route=SimpleNamespace(
-            name="rooms", most_attempts=2, retry_safety=RetrySafety.RESUMABLE_STREAM
+            name="rooms", max_attempts=2, retry_safety=RetrySafety.RESUMABLE_STREAM
         ),
         waited=0.0,
         sends=0,
