--- a/packages/core/src/lacewingcourse/core/pipelines/fleet.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/fleet.py
@@ -113,7 +113,7 @@
     known_at: float = float("-inf")
     returned_at: float = float("-inf")
     revision: int = 0
-    ids: dict[str, str] = attrs.field(factory=dict)
+    current_ids: dict[str, str] = attrs.field(factory=dict)
     ended: dict[str, Endpoint] = attrs.field(factory=dict)
 
     def put(self, endpoint: Endpoint, recognised: bool = True) -> EntryEffect:
@@ -135,7 +135,7 @@
         restarted = known is not None and known.id != endpoint.id
         if restarted:
             self._drop(known.id)
-        self.ids[endpoint.name] = endpoint.id
+        self.current_ids[endpoint.name] = endpoint.id
         self.endpoints[endpoint.id] = endpoint
         if known == endpoint:
             return EntryEffect.NOTHING
@@ -144,7 +144,7 @@
 
     def current_incarnation(self, name: str) -> Endpoint | None:
         """Return the present incarnation of an endpoint, None if there is none."""
-        return self.endpoints.get(self.ids.get(name, ""))
+        return self.endpoints.get(self.current_ids.get(name, ""))
 
     def record_start(self, name: str, born: int) -> bool:
         """Take from an endpoint's own word when it started; tell whether that is new.
@@ -225,8 +225,8 @@
         if found is None:
             return
         self.revision += 1
-        if self.ids.get(found.name) == endpoint_id:
-            del self.ids[found.name]
+        if self.current_ids.get(found.name) == endpoint_id:
+            del self.current_ids[found.name]
         self.ended.pop(found.name, None)
         self.ended[found.name] = found
         while len(self.ended) > MAX_ENDED:
--- a/packages/core/src/lacewingcourse/core/pipelines/layout.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/layout.py
@@ -222,8 +222,8 @@
     """
     if min(speed_weighted_capacity(endpoints, shape)) <= 0:
         return 0.0
-    bound = yield from search_fleet_capacity(endpoints, shape, RoundRobin())
-    return bound.requests_per_second if bound is not None else 0.0
+    capacity = yield from search_fleet_capacity(endpoints, shape, RoundRobin())
+    return capacity.requests_per_second if capacity is not None else 0.0
 
 
 def _fill_gaps(holding: list[Endpoint], shape: EngineShape) -> list[Assignment]:
--- a/packages/core/src/lacewingcourse/core/pipelines/rate_estimate.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/rate_estimate.py
@@ -32,9 +32,11 @@
     """
     rate = requests = 0.0
     for members in copies:
-        held = min(min(_max_requests(e, shape) for e in members), float(shape.slots))
-        rate += 1000.0 * held / _request_ms(members, held, shape)
-        requests += held
+        concurrency = min(
+            min(_max_requests(e, shape) for e in members), float(shape.slots)
+        )
+        rate += 1000.0 * concurrency / _request_ms(members, concurrency, shape)
+        requests += concurrency
     if not requests:
         return 0.0
     weakest = (
@@ -53,12 +55,14 @@
     return tokens / shape.mean_request_tokens
 
 
-def _request_ms(members: list[Endpoint], held: float, shape: EngineShape) -> float:
+def _request_ms(
+    members: list[Endpoint], concurrency: float, shape: EngineShape
+) -> float:
     """Return how long a copy takes for a request beside some others."""
     total = 0.0
     for endpoint in members:
         kind, span = shape.accelerators[endpoint.accelerator], len(endpoint.layers)
-        token_ms = shape.decode_step_ms(kind, span, held + 1.0) + LOCAL_HOP_MS
+        token_ms = shape.decode_step_ms(kind, span, concurrency + 1.0) + LOCAL_HOP_MS
         total += token_ms * shape.usual_answer
         total += shape.prefill_ms(kind, span, shape.usual_prompt)
     return total
--- a/packages/core/src/lacewingcourse/core/pipelines/routing.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/routing.py
@@ -50,26 +50,26 @@
     host: str
     prefix: str
     retry_safety: RetrySafety
-    shares: tuple[tuple[str, float], ...]
+    service_weights: tuple[tuple[str, float], ...]
     timeout: float
     objective: float
-    gap: float
+    max_event_gap: float
     priority: int
     max_attempts: int
     needs_key: bool
 
     def service_for(self, request_id: str) -> str:
         """Return the service of a request; the same id has always the same one."""
-        if len(self.shares) == 1:
-            return self.shares[0][0]
+        if len(self.service_weights) == 1:
+            return self.service_weights[0][0]
         digest = blake2b(request_id.encode(), digest_size=8).digest()
-        total = sum(weight for _, weight in self.shares)
+        total = sum(weight for _, weight in self.service_weights)
         point = int.from_bytes(digest) / 2**64 * total
-        for service, weight in self.shares:
+        for service, weight in self.service_weights:
             point -= weight
             if point < 0:
                 return service
-        return self.shares[-1][0]
+        return self.service_weights[-1][0]
 
 
 @attrs.frozen
--- a/packages/core/tests/pipelines/test_capacity.py
+++ b/packages/core/tests/pipelines/test_capacity.py
@@ -41,6 +41,6 @@
     assert planned.requests_per_second > 1.2 * served
 
 
-def test_a_fleet_with_a_gap_serves_nothing(shape, rng):
+def test_a_fleet_with_a_gap_has_no_capacity(shape, rng):
     held = [holding(make_endpoint("a", "large"), 0, 40)]
     assert fleet_capacity(held, shape, rng) is None
--- a/packages/core/tests/pipelines/test_choice.py
+++ b/packages/core/tests/pipelines/test_choice.py
@@ -217,7 +217,7 @@
     assert loads.own == {}
 
 
-def test_calls_go_where_the_smallest_share_of_slots_is_taken(rng):
+def test_a_call_goes_to_the_endpoint_with_the_smallest_share_of_slots_in_use(rng):
     endpoints = [attrs.evolve(make_endpoint(f"e{i}", ""), slots=4) for i in range(3)]
     loads = LoadTable()
     loads.begin_call("e0")
--- a/packages/core/tests/pipelines/test_copies.py
+++ b/packages/core/tests/pipelines/test_copies.py
@@ -90,8 +90,8 @@
     """
     fleet = [e for i, kinds in enumerate(AMPLE) for e in group(kinds, f"zone{i}")]
     found = placed(fleet, LARGE)
-    bound = fleet_capacity(found, LARGE, random.Random(0))
-    assert bound.requests_per_second >= 105.0
+    capacity = fleet_capacity(found, LARGE, random.Random(0))
+    assert capacity.requests_per_second >= 105.0
     for index in range(0, len(found), 4):
         left = [e for e in found if e is not found[index]]
         after = fleet_capacity(left, LARGE, random.Random(0))
--- a/packages/core/tests/pipelines/test_fleet.py
+++ b/packages/core/tests/pipelines/test_fleet.py
@@ -28,7 +28,7 @@
     assert fleet.of_service("rooms") == []
 
 
-def test_a_leaving_endpoint_takes_no_new_work():
+def test_a_leaving_endpoint_gets_no_new_requests():
     fleet = Fleet()
     fleet.put(attrs.evolve(A, leaving=True))
     assert fleet.of_service("rooms") == []
@@ -43,7 +43,7 @@
     return fleet
 
 
-def test_entries_that_lapse_around_an_outage_are_kept_for_a_while():
+def test_endpoints_that_lapse_after_an_outage_are_kept_for_the_grace_period():
     fleet = fleet_after_outage()
     assert not fleet.remove("a", now=20.1)
     assert fleet.of_service("rooms") == [A]
--- a/packages/core/tests/pipelines/test_layout.py
+++ b/packages/core/tests/pipelines/test_layout.py
@@ -29,7 +29,7 @@
         assert min(token_capacity(members, shape)) > 0
 
 
-def test_every_layer_has_memory_for_the_least_number_of_requests(fleet, shape):
+def test_every_layer_has_memory_for_the_minimum_of_requests(fleet, shape):
     least = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
     assert min(token_capacity(fleet, shape)) >= 3 * least
 
@@ -45,7 +45,7 @@
     assert plan_layout(fleet, shape) == []
 
 
-def test_a_restarted_endpoint_takes_layers_that_nobody_holds(shape):
+def test_a_restarted_endpoint_takes_layers_without_a_holder(shape):
     members = [make_endpoint("a", "large")]
     members += [make_endpoint(f"m{i}", "middle") for i in range(3)]
     running = placed(members, shape)
@@ -65,7 +65,7 @@
     assert assignment.layers.start >= 30
 
 
-def test_zones_too_small_for_a_copy_make_one_together(shape):
+def test_zones_too_small_for_a_copy_form_one_together(shape):
     members = [make_endpoint(f"{z}{i}", "large", z) for z in "xy" for i in range(2)]
     for zone in "xy":
         alone = [e for e in members if e.zone == zone]
@@ -93,7 +93,7 @@
     least = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
     best = float("inf")
     for chosen in itertools.permutations(members):
-        for spans in cuts(
+        for spans in splits(
             [layers_that_fit(e, shape, least) for e in chosen], shape.layers
         ):
             position, held = 0, []
@@ -106,14 +106,14 @@
     return best
 
 
-def cuts(most, layers):
+def splits(most, layers):
     """Yield every way to give out the layers."""
     if not most:
         if layers == 0:
             yield ()
         return
     for span in range(min(most[0], layers) + 1):
-        for rest in cuts(most[1:], layers - span):
+        for rest in splits(most[1:], layers - span):
             yield (span, *rest)
 
 
@@ -155,7 +155,7 @@
     assert [(a.endpoint, a.layers) for a in plan] == [("m3", Layers(29, 46))]
 
 
-def test_no_endpoint_moves_that_alone_holds_a_layer(shape):
+def test_a_sole_holder_does_not_move(shape):
     held = [
         holding(make_endpoint("a", "large"), 0, 29),
         holding(make_endpoint("m1", "middle"), 46, 63),
--- a/packages/core/tests/pipelines/test_path.py
+++ b/packages/core/tests/pipelines/test_path.py
@@ -31,7 +31,7 @@
     assert times == sorted(times)
 
 
-def test_there_is_no_path_over_a_gap(shape):
+def test_there_is_no_path_if_a_layer_has_no_holder(shape):
     held = [
         holding(make_endpoint("a", "large"), 0, 30),
         holding(make_endpoint("b", "large"), 31, 80),
@@ -60,7 +60,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(RANGES, st.sampled_from(sorted(KINDS))), max_size=12))
-def test_any_candidate_is_whole_and_each_holds_its_part(held):
+def test_candidates_cover_all_layers_within_those_held(held):
     shape = make_shape(layers=8)
     endpoints = [
         holding(make_endpoint(f"e{i}", kind, "ew"[i % 2]), *layers)
--- a/packages/core/tests/pipelines/test_routing.py
+++ b/packages/core/tests/pipelines/test_routing.py
@@ -20,10 +20,10 @@
     host="maps.example",
     prefix="/rooms/label/",
     retry_safety=RetrySafety.RESUMABLE_STREAM,
-    shares=(("mapchat", 1.0),),
+    service_weights=(("mapchat", 1.0),),
     timeout=20.0,
     objective=0.5,
-    gap=0.2,
+    max_event_gap=0.2,
     priority=1,
     max_attempts=2,
     needs_key=True,
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize(
     ("host", "path"), [("maps.example", "/room"), ("other.example", "/rooms/")]
 )
-def test_what_no_route_matches_is_unknown(table, host, path):
+def test_a_request_without_a_route_is_an_unknown_resource(table, host, path):
     assert table.route(host, path).kind is ErrorKind.UNKNOWN_RESOURCE
 
 
@@ -80,7 +80,7 @@
 
 
 def test_shares_follow_the_weights_and_the_same_request_has_the_same_service():
-    split = attrs.evolve(LONG, shares=(("a", 90.0), ("b", 10.0)))
+    split = attrs.evolve(LONG, service_weights=(("a", 90.0), ("b", 10.0)))
     chosen = [split.service_for(f"request-{i}") for i in range(2000)]
     assert 120 < chosen.count("b") < 280
     assert [split.service_for(f"request-{i}") for i in range(2000)] == chosen
--- a/packages/relay/src/lacewingcourse/relay/admission.py
+++ b/packages/relay/src/lacewingcourse/relay/admission.py
@@ -74,7 +74,7 @@
     def _queued(self, job: Job, demand: Demand, now: float) -> QueuedRequest:
         """Return how long a request waits."""
         if job.caller.begun:
-            patience = continued_wait(job.route.objective, job.route.gap)
+            patience = continued_wait(job.route.objective, job.route.max_event_gap)
             until = job.progressed_at + patience
         else:
             until = self.wait(job.request.received_at, job.route.objective)
--- a/packages/relay/src/lacewingcourse/relay/decisions.py
+++ b/packages/relay/src/lacewingcourse/relay/decisions.py
@@ -133,7 +133,7 @@
             first_ms=None if first is None else _ms(first - job.request.received_at),
             gap_ms=_ms(job.longest_gap),
             objective_ms=_ms(job.route.objective),
-            pause_ms=_ms(job.route.gap),
+            pause_ms=_ms(job.route.max_event_gap),
             path=_path(job),
             version=self.version(),
             reason=job.reason,
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -90,7 +90,7 @@
     def begin(self, job: Job, now: float) -> None:
         """Watch a stream that was sent."""
         job.watched = self.watch.begin(
-            job.path, now, job.route.gap, job.route.objective
+            job.path, now, job.route.max_event_gap, job.route.objective
         )
         self.jobs[job.watched] = job
 
--- a/packages/relay/tests/relay/routes.py
+++ b/packages/relay/tests/relay/routes.py
@@ -29,7 +29,7 @@
         ((service, 1.0),),
         timeout=timeout,
         objective=objective,
-        gap=0.2,
+        max_event_gap=0.2,
         priority=1,
         max_attempts=attempts,
         needs_key=False,
--- a/packages/relay/tests/relay/test_admission.py
+++ b/packages/relay/tests/relay/test_admission.py
@@ -20,7 +20,7 @@
     """Return what admission needs of a request that came at 100."""
     return SimpleNamespace(
         request=SimpleNamespace(received_at=100.0),
-        route=SimpleNamespace(objective=0.5, gap=0.2),
+        route=SimpleNamespace(objective=0.5, max_event_gap=0.2),
         caller=SimpleNamespace(begun=begun, gone=False),
         urgency=1,
         until=120.0,
--- a/packages/relay/tests/relay/test_stall_watcher.py
+++ b/packages/relay/tests/relay/test_stall_watcher.py
@@ -51,7 +51,7 @@
     current = SimpleNamespace(arrivals=asyncio.Queue())
     return SimpleNamespace(
         path=path,
-        route=SimpleNamespace(gap=0.2, objective=0.5),
+        route=SimpleNamespace(max_event_gap=0.2, objective=0.5),
         may_move=may_move,
         current=current,
         avoid=set(),
--- a/packages/relay/tests/relay/test_versions.py
+++ b/packages/relay/tests/relay/test_versions.py
@@ -166,7 +166,7 @@
     async def run():
         job = job_of()
         job.path = beliefs.paths("rooms", shape, 0.0)[0]
-        job.route = SimpleNamespace(gap=0.2, objective=0.5)
+        job.route = SimpleNamespace(max_event_gap=0.2, objective=0.5)
         job.may_move, job.watched = True, None
         job.current = SimpleNamespace(arrivals=asyncio.Queue())
         watcher.begin(job, -2.0)
