--- a/packages/core/src/lacewingcourse/core/pipelines/choice.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/choice.py
@@ -1,4 +1,4 @@
-"""Which path or endpoint a request is sent to."""
+"""Choice of the path or endpoint that a request is sent to."""
 
 from __future__ import annotations
 
@@ -23,38 +23,40 @@
     from lacewingcourse.core.pipelines.path_costs import PathCosts
     from lacewingcourse.core.pipelines.shape import EngineShape
 
-#: Share of an endpoint's memory for requests that is given away. Answers are longer
-#: than their estimate about as often as shorter, and one that outgrows the memory
-#: stops the newest request, so some is left.
+#: Share of an endpoint's request memory that new requests may fill. Answers exceed
+#: their estimate about as often as they fall short of it, and an endpoint that runs out
+#: of memory stops its newest request, so some memory is kept free.
 MAX_MEMORY_SHARE = 0.9
-#: The same for a stream whose caller already reads it: cut, it is worth nothing.
+#: The same for a stream that is resumed after its caller has received part of it. Such
+#: a stream may use all memory, since an answer that is cut off is useless.
 MAX_MEMORY_SHARE_RESUMED = 1.0
-#: How many times as dear a path is for each link between zones that it takes.
+#: Factor on the cost of a path for each link between zones that it uses.
 CROSS_ZONE_COST_FACTOR = 1.4
-#: How many times as dear a path looks to whose first endpoint there is no connection. A
-#: new one takes a round trip of some milliseconds and a place among those that an
-#: endpoint accepts; a path that is a fifth slower or fuller costs about as much.
+#: Factor on the cost of a path to whose first endpoint there is no idle connection. A
+#: new connection takes a round trip of some milliseconds and one of the connections
+#: that the endpoint accepts, about as much as a path that is a fifth slower or fuller.
 NEW_CONNECTION_COST_FACTOR = 1.2
-#: How much worse than the best a path may look to be drawn among the best ones.
-#: Entries that see the same loads would otherwise all take the same path.
+#: Ratio to the lowest cost up to which paths are chosen from at random. Entries that
+#: know the same loads would otherwise all choose the same path.
 NEAR_BEST_COST_RATIO = 1.08
-#: Share of free memory that is reckoned with at the least, to bound the cost.
+#: Lower bound of the free share of memory or link time in the cost, so that the cost
+#: stays finite.
 MIN_FREE_SHARE = 0.02
-#: Paths that are drawn and compared for a request. Where none of them has room, all
-#: are compared.
+#: Candidate paths that are sampled and compared for a request. If none of them has
+#: enough memory, all candidates are compared.
 PATH_SAMPLE_SIZE = 12
-#: Share of a plain endpoint's slots above which it counts as full: beyond twice its
-#: slots a request waits longer than two others run.
+#: Calls per slot from which a plain endpoint counts as full: with more than twice as
+#: many calls as slots, a call waits longer than two other calls run.
 MAX_CALLS_PER_SLOT = 2.0
 
 
 @attrs.frozen
 class Demand:
-    """What a request needs of a path.
+    """Tokens for which a request needs compute time and memory on a path.
 
     Attributes:
-        prompt: Tokens of its prompt.
-        answer: Tokens that its answer is expected to have.
+        prompt_tokens: Tokens of its prompt.
+        answer_tokens: Tokens that its answer is expected to have.
     """
 
     prompt_tokens: int
@@ -62,36 +64,37 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens that it is expected to hold at its end."""
+        """Tokens that it is expected to hold in memory at its end."""
         return self.prompt_tokens + self.answer_tokens
 
 
-#: What a request needs that does not exist.
+#: Demand of no request, to read the present use of memory.
 NO_DEMAND = Demand(0, 0)
 
 
 class RandomSource(Protocol):
-    """What draws among equally good choices."""
+    """Source of choices among equally good paths, such as `random.Random`."""
 
     def choice(self, found: list[Path]) -> Path:
-        """Return one of them."""
+        """Return one of some paths."""
 
     def sample(self, found: list[Path], count: int) -> list[Path]:
-        """Return some of them."""
+        """Return as many of some paths as asked for, without repetition."""
 
 
 @attrs.define
 class PathChooser:
-    """Chooses among candidate paths by predicted time and memory left.
+    """Chooses among candidate paths by predicted time and free memory.
 
     Attributes:
-        shape: Published figures of the engines.
-        endpoints: Endpoints by id; one whose layers change needs another chooser.
-        loads: What runs where.
-        links: How busy the links between zones are.
+        shape: Published performance figures of the engines.
+        endpoints: Endpoints by id. Costs of paths are cached, so a change of an
+            endpoint's layers requires a new chooser.
+        loads: Loads of the endpoints.
+        links: Utilisation of the links between zones.
         speeds: Endpoints that run slower than published.
-        looked_at: Paths that are compared for a request, if any of them fits.
-        figures: Figures of the paths that were asked for, by identity.
+        sample_size: Paths that are sampled and compared before all are.
+        costs_by_path: Cached costs of paths, by the path's identity.
     """
 
     shape: EngineShape
@@ -112,16 +115,16 @@
         share: float = MAX_MEMORY_SHARE,
         connected: Collection[str] = (),
     ) -> Path | Refusal:
-        """Return the path for a request, or why there is none.
+        """Return the path for a request, or the reason why there is none.
 
         Args:
             paths: Candidate paths.
-            demand: What the request needs.
-            avoid: Endpoints that must not be used.
-            rng: Source of the draw among equally good paths.
-            now: Present time in seconds.
-            share: Share of an endpoint's memory that may be taken.
-            connected: Addresses to which there is a connection that nobody uses.
+            demand: Tokens of the request.
+            avoid: Ids of endpoints that must not be used.
+            rng: Source of random choices among equally good paths.
+            now: Current time in seconds.
+            share: Share of an endpoint's request memory that may be filled.
+            connected: Addresses to which there is an idle connection.
         """
         usable = [p for p in paths if not p.uses(avoid)] if avoid else paths
         if not usable:
@@ -139,7 +142,7 @@
     def _sample(
         self, paths: list[Path], rng: RandomSource, connected: Collection[str]
     ) -> list[Path]:
-        """Return some paths, as many as may be of connected ones among them."""
+        """Return a sample of paths, up to half of it with an idle connection."""
         connected_paths = [path for path in paths if path.first.address in connected]
         if len(connected_paths) > self.sample_size // 2:
             connected_paths = rng.sample(connected_paths, self.sample_size // 2)
@@ -156,10 +159,11 @@
         share: float,
         connected: Collection[str],
     ) -> Path | None:
-        """Return one of the cheapest of some paths, None if no one fits.
+        """Return one of the paths of near-lowest cost, None if none has capacity.
 
-        An entry that begins few streams a second among many endpoints else meets each
-        of them after its last connection there was closed for idleness.
+        Paths with an idle connection are preferred. Otherwise an entry that starts few
+        streams per second, on many endpoints, would return to each endpoint only after
+        its connection there was closed for being idle.
         """
         scored = []
         for path in paths:
@@ -178,19 +182,34 @@
     def fits(
         self, path: Path, demand: Demand, now: float, share: float = MAX_MEMORY_SHARE
     ) -> bool:
-        """Tell whether parts have memory, the first one a slot, and links time."""
+        """Return whether the parts, the first part's slots and the links have capacity.
+
+        Args:
+            path: The path.
+            demand: Tokens of the request.
+            now: Current time in seconds.
+            share: Share of an endpoint's request memory that may be filled.
+        """
         return self.cost(path, demand, now, share) is not None
 
     def cost(
         self, path: Path, demand: Demand, now: float, share: float = MAX_MEMORY_SHARE
     ) -> float | None:
-        """Return the predicted time, raised as memory and links fill.
+        """Return the predicted milliseconds, weighted by the use of memory and links.
+
+        A part that runs out of memory stops its newest request, so a slower path with
+        free memory is better than a faster one that is nearly full. Prompts queue on a
+        link between zones, so a path that uses one is chosen only if the paths within a
+        zone are considerably fuller.
+
+        Args:
+            path: The path.
+            demand: Tokens of the request.
+            now: Current time in seconds.
+            share: Share of an endpoint's request memory that may be filled.
 
-        None if a part, a link or the first part's slots are full. A part that runs out
-        of memory stops its newest request, so a slower path with room is better than a
-        faster one that is nearly full. Prompts wait for one another on a link between
-        zones, so a path over it is taken when those within a zone are a good deal
-        fuller.
+        Returns:
+            The cost, None if a part, a link or the first part's slots are full.
         """
         if self.loads.get(path.first.endpoint).first_part_requests >= self.shape.slots:
             return None
@@ -206,10 +225,10 @@
     def _time_and_fill(
         self, path: Path, demand: Demand, now: float, share: float
     ) -> tuple[float, float] | None:
-        """Return predicted milliseconds and the fullest part's share of memory.
+        """Return the predicted milliseconds and the fullest part's share of memory.
 
-        None if a part has no memory for the request. This is the inner loop of every
-        choice, so it walks the parts once.
+        None if a part lacks memory for the request. This is the inner loop of every
+        choice, so it passes over the parts only once.
         """
         sums, slow = self.loads.sums, self.speeds.estimates
         tokens, prompt, answer = (
@@ -237,7 +256,7 @@
         return total, fullest
 
     def _cross_zone_factor(self, path: Path, demand: Demand, now: float) -> float:
-        """Return how many times as dear links make a path, infinite if one is full."""
+        """Return the factor of a path's links on its cost, infinite if one is full."""
         transfer = self.shape.transfer_seconds(demand.prompt_tokens)
         factor = 1.0
         for pair in path.crossings:
@@ -255,12 +274,21 @@
         return found[0]
 
     def memory_share(self, part: Part, demand: Demand = NO_DEMAND) -> float:
-        """Return the share of a part's memory that is taken with a request in it."""
+        """Return the share of a part's request memory in use with a request added.
+
+        Args:
+            part: The part.
+            demand: Tokens of the request.
+
+        Returns:
+            The share, infinite if the endpoint is unknown or holds no layers, or its
+            kind of accelerator has no published figures.
+        """
         endpoint = self.endpoints.get(part.endpoint)
         if endpoint is None or endpoint.layers is None:
             return float("inf")
         accelerator = self.shape.accelerators.get(endpoint.accelerator)
-        # A version may have dropped the kind while requests still run on it.
+        # A new configuration may have removed the kind while requests still run on it.
         if accelerator is None:
             return float("inf")
         kv_capacity = self.shape.kv_capacity(accelerator, len(endpoint.layers))
@@ -268,7 +296,7 @@
         return (taken + demand.tokens * len(part.layers)) / max(kv_capacity, 1.0)
 
     def _costs_of(self, path: Path) -> PathCosts:
-        """Return the figures of a path, which are kept as long as this chooser."""
+        """Return the costs of a path's parts, cached as long as this chooser exists."""
         found = self.costs_by_path.get(id(path))
         if found is None:
             found = path_costs_of(path, self.endpoints, self.shape)
@@ -285,15 +313,15 @@
 ) -> Endpoint | Refusal:
     """Return the endpoint of a plain service for a call, or why there is none.
 
-    The one with the smallest share of its slots taken is chosen, of the caller's
-    availability zone among equals.
+    The endpoint with the smallest share of its slots in use is chosen; among equals,
+    one in this entry's availability zone.
 
     Args:
-        endpoints: Endpoints of the service that take new work.
-        loads: What runs where.
+        endpoints: Endpoints of the service that accept new requests.
+        loads: Loads of the endpoints.
         zone: Availability zone of this entry.
-        avoid: Endpoints that must not be used.
-        rng: Source of the draw among equally good endpoints.
+        avoid: Ids of endpoints that must not be used.
+        rng: Source of random choices among equally good endpoints.
     """
     usable = [endpoint for endpoint in endpoints if endpoint.id not in avoid]
     if not usable:
--- a/packages/core/src/lacewingcourse/core/pipelines/path.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/path.py
@@ -1,4 +1,4 @@
-"""Paths through endpoints that run every layer once and in order."""
+"""Search of paths: sequences of endpoints that run every layer once and in order."""
 
 from __future__ import annotations
 
@@ -17,36 +17,37 @@
     from lacewingcourse.core.pipelines.fleet import Endpoint
     from lacewingcourse.core.pipelines.shape import EngineShape
 
-#: Milliseconds that a token takes between parts in one availability zone.
+#: Milliseconds for a token to pass between two parts in the same availability zone.
 LOCAL_HOP_MS = 0.2
-#: Milliseconds that a usual prompt's activations are taken to cost for each crossing of
-#: availability zones, spread over the tokens of an answer. All paths share the link.
+#: Assumed milliseconds per token of an answer for each link between availability zones
+#: on a path: the transfer of a mean prompt's activations, spread over the answer. All
+#: paths share the link.
 CROSS_ZONE_HOP_MS = 4.0
-#: How much dearer a part looks for each earlier candidate path that uses it. With too
-#: little the memory of slow copies is on no candidate.
+#: Multiple of a part's time that each earlier candidate path through its endpoint adds
+#: to its cost. If this is too low, no candidate uses the memory of slow copies.
 REUSE_PENALTY = 6.0
-#: Parts that a path may have; engines refuse longer ones.
+#: Maximum number of parts of a path; engines reject longer paths.
 MAX_PARTS = 32
-#: Candidate paths that are searched for each service.
+#: Searches for candidate paths of a service; larger fleets get more.
 MIN_SEARCHES = 32
-#: Endpoints for each of which one candidate more is searched in a larger fleet: a path
-#: takes four to eight of them, so each is on one or two.
+#: Endpoints per search in a larger fleet. A path has four to eight endpoints, so each
+#: endpoint is on one or two candidates.
 ENDPOINTS_PER_SEARCH = 4
-#: Candidates that are searched within an availability zone at the least.
+#: Minimum number of searches within each availability zone.
 MIN_SEARCHES_PER_ZONE = 3
-#: Requests that are taken to write beside one another when parts are compared.
+#: Assumed number of requests that decode at once, to compare the times of parts.
 TYPICAL_CONCURRENCY = 8.0
 
 
 @attrs.frozen
 class Part:
-    """A part of a path.
+    """A range of layers that one endpoint runs on a path.
 
     Attributes:
         endpoint: Id of the endpoint.
-        address: Its address.
+        address: Its IP address and port.
         zone: Its availability zone.
-        layers: Layers that it runs.
+        layers: Layers that it runs on this path.
         name: Name under which the endpoint registers.
     """
 
@@ -65,8 +66,8 @@
 
     Attributes:
         parts: The parts in order of their layers.
-        token_ms: Milliseconds of a token on an idle path.
-        crossings: Pairs of availability zones between which it passes, in order.
+        token_ms: Milliseconds per token of an answer on an idle path.
+        crossings: Zone pairs of the links between zones that it uses, in order.
     """
 
     parts: tuple[Part, ...]
@@ -80,24 +81,24 @@
 
     @property
     def first(self) -> Part:
-        """The part that requests are sent to."""
+        """The first part, to whose endpoint requests are sent."""
         return self.parts[0]
 
     def uses(self, endpoints: Iterable[str]) -> bool:
-        """Tell whether any of some endpoints is on the path."""
+        """Return whether any endpoint of a collection of ids is on the path."""
         ids = endpoints if isinstance(endpoints, (set, frozenset)) else set(endpoints)
         return any(part.endpoint in ids for part in self.parts)
 
 
 def _crossings(parts: tuple[Part, ...]) -> tuple[ZonePair, ...]:
-    """Return the pairs of availability zones between which parts pass, in order."""
+    """Return the zone pairs of the links between consecutive parts, in order."""
     zones = [part.zone for part in parts]
     hops = zip(zones, zones[1:], strict=False)
     return tuple(zone_pair(a, b) for a, b in hops if a != b)
 
 
 def covers_all_layers(path: Path, layer_count: int) -> bool:
-    """Tell whether a path runs every layer once and in order."""
+    """Return whether a path runs every layer once, in order, within `MAX_PARTS`."""
     position = 0
     for part in path.parts:
         if part.layers.start != position or not len(part.layers):
@@ -107,17 +108,18 @@
 
 
 def candidate_paths(endpoints: list[Endpoint], shape: EngineShape) -> list[Path]:
-    """Return paths that differ as much as possible, cheapest first.
+    """Return candidate paths that differ as much as possible, fastest first.
 
-    Each path is the cheapest one after the parts of the earlier ones were made
-    dearer, so that every endpoint that can be on a path tends to be on one. Each
-    availability zone is searched by itself first: its copies were cut at the same
-    layers, while those of all zones together have several times as many ways to begin
-    and end a part. Paths over all zones take up what is on none of these.
+    Each search finds the cheapest path after the cost of the endpoints of earlier paths
+    was raised, so that every endpoint that can be on a path tends to be on one. Each
+    availability zone is searched by itself first: the copies within a zone share their
+    layer boundaries, while all zones together have several times as many possible
+    parts. Then paths across zones are searched for endpoints that are on no path yet.
+    If no zone has a path by itself, all searches are across zones.
 
     Args:
         endpoints: Endpoints of the service that may be used.
-        shape: Published figures of its engines.
+        shape: Published performance figures of its engines.
     """
     holders = [
         endpoint
@@ -142,7 +144,7 @@
 
 
 def _by_zone(holders: list[Endpoint]) -> list[list[Endpoint]]:
-    """Return endpoints by their availability zones, none if they share one."""
+    """Return endpoints grouped by zone, an empty list if all are in one zone."""
     zones: dict[str, list[Endpoint]] = defaultdict(list)
     for endpoint in holders:
         zones[endpoint.zone].append(endpoint)
@@ -150,7 +152,7 @@
 
 
 def _collect(search: _PathSearch, count: int, found: dict[tuple, Path]) -> None:
-    """Add the paths that a search finds in some tries."""
+    """Search a number of times and add the paths found."""
     for _ in range(count):
         path = search.cheapest()
         if path is None:
@@ -159,10 +161,11 @@
 
 
 def _cover_unused(search: _PathSearch, found: dict[tuple, Path]) -> None:
-    """Add paths over all zones as long as they take up endpoints that are on none.
+    """Add paths across zones as long as they use endpoints that are on no path yet.
 
-    A loss leaves endpoints without a neighbour of their zone. Where all are on paths
-    already, more of these serve no more, and searching them takes most of the time.
+    After the loss of an endpoint, others may lack a next part in their own zone. Once
+    all endpoints are on paths, further paths across zones add no capacity, and their
+    search takes most of the time.
     """
     while any(endpoint.id not in search.use_counts for endpoint in search.holders):
         path = search.cheapest()
@@ -174,7 +177,7 @@
 
 
 def _add(search: _PathSearch, path: Path, found: dict[tuple, Path]) -> None:
-    """Add a path unless engines would refuse it; make its parts dearer."""
+    """Raise the cost of a path's endpoints, and add it unless engines reject it."""
     search.record_use(path)
     if covers_all_layers(path, search.shape.layers) and not _has_repeated_endpoint(
         path
@@ -184,12 +187,12 @@
 
 @attrs.frozen
 class _PartStart:
-    """An endpoint whose part may begin at a layer.
+    """An endpoint that can run a part that starts at some layer.
 
     Attributes:
         endpoint: The endpoint.
-        ends: Layers after the last one that its part may have, with the milliseconds
-            that such a part takes for a token.
+        ends: Possible ends of the part, as the layer after its last one, each with the
+            milliseconds per token of the part.
     """
 
     endpoint: Endpoint
@@ -198,12 +201,12 @@
 
 @attrs.frozen
 class _PartialPath:
-    """The cheapest way to a layer.
+    """The cheapest sequence of parts from the first layer to some layer.
 
     Attributes:
-        cost: Its cost.
+        cost: Its cost in milliseconds per token, raised by the reuse penalties.
         zone: Availability zone of its last part.
-        trail: Its parts, the last one first, linked.
+        chain: Its parts as a linked list, the last part first.
     """
 
     cost: float
@@ -212,10 +215,11 @@
 
 
 class _PathSearch:
-    """Cheapest paths over the layers, with weights for what is used already.
+    """Shortest-path search over the layers, with penalties for endpoints in use.
 
-    Layers are visited in order, and for each one only the cheapest way from each zone
-    is kept, so that a search costs one look at every part that may stand on a path.
+    Layer boundaries are visited in order, and at each one only the cheapest partial
+    path that ends in each zone is kept, so that a search examines every possible part
+    once.
     """
 
     def __init__(
@@ -230,7 +234,7 @@
         self.part_starts = {cut: self._part_starts_at(cut, starts) for cut in cuts}
 
     def record_use(self, path: Path) -> None:
-        """Make the parts of a path dearer."""
+        """Count a use of each endpoint of a path, which raises its cost."""
         for part in path.parts:
             self.use_counts[part.endpoint] = self.use_counts.get(part.endpoint, 0) + 1
 
@@ -259,7 +263,7 @@
         partials: dict[str, _PartialPath],
         best: _PartialPath,
     ) -> None:
-        """Go on from a layer by the parts of an endpoint where that is cheaper."""
+        """Extend the partial paths at a layer by an endpoint's parts if cheaper."""
         zone = part_start.endpoint.zone
         partial, cost = best, best.cost + (CROSS_ZONE_HOP_MS if best.zone else 0.0)
         local = partials.get(zone)
@@ -274,9 +278,9 @@
                 known[zone] = _PartialPath(total, zone, chain)
 
     def _part_starts_at(self, position: int, starts: list[int]) -> list[_PartStart]:
-        """Return the endpoints whose parts may begin at a layer.
+        """Return the endpoints that can run a part that starts at a layer.
 
-        A part ends where its endpoint's layers end, or where another one's begin.
+        A part ends where its endpoint's layers end or another endpoint's begin.
         """
         part_starts = []
         for endpoint in self.holders:
@@ -292,7 +296,7 @@
         return part_starts
 
     def _path(self, chain: tuple | None) -> Path:
-        """Return the path of a trail, which may be too long for engines."""
+        """Return the path of a chain; it may have more parts than engines accept."""
         parts: list[Part] = []
         while chain is not None:
             endpoint, start, end, chain = chain
@@ -303,7 +307,7 @@
         return Path(tuple(parts), self._token_ms(parts))
 
     def _token_ms(self, parts: list[Part]) -> float:
-        """Return the milliseconds of a token on an idle path."""
+        """Return the milliseconds per token of an answer on an idle path."""
         total = 0.0
         zone = parts[0].zone
         for part in parts:
@@ -315,6 +319,6 @@
 
 
 def _has_repeated_endpoint(path: Path) -> bool:
-    """Tell whether an endpoint stands twice on a path; engines refuse that."""
+    """Return whether an endpoint is on a path twice, which engines reject."""
     ids = [part.endpoint for part in path.parts]
     return len(set(ids)) < len(ids)
--- a/packages/core/src/lacewingcourse/core/pipelines/path_costs.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/path_costs.py
@@ -1,4 +1,4 @@
-"""The figures of a path's parts that a choice is made from, worked out once."""
+"""Costs and memory of a path's parts, computed once for all choices of the path."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 @attrs.frozen
 class PartCosts:
-    """What a part adds to the time of a request, and the memory that it has.
+    """Time that a part adds to a request, and the memory of its endpoint.
 
     Attributes:
         endpoint: Id of its endpoint.
-        span: Layers that it runs.
-        room: Memory of its endpoint for requests, in tokens times layers; 0 if that
-            holds no layers any more.
-        step_ms: Milliseconds that an answer's token takes without other requests.
-        request_ms: Milliseconds that it takes longer for each of these.
-        read_ms: Milliseconds in which a token of the prompt is read.
+        span: Number of layers that it runs.
+        kv_capacity: Memory of its endpoint for requests, in tokens times layers; 0 if
+            the endpoint no longer holds layers.
+        step_ms: Milliseconds for each token of an answer without other requests.
+        ms_per_other_request: Milliseconds that each other request adds to that.
+        prefill_ms_per_token: Milliseconds of prefill for each token of the prompt.
     """
 
     endpoint: str
@@ -38,11 +38,11 @@
 
 @attrs.frozen(eq=False)
 class PathCosts:
-    """A path with the figures of its parts.
+    """A path with the costs of its parts.
 
     Attributes:
-        path: The path.
-        parts: The figures of its parts in order.
+        path: The path; holding it keeps `id(path)`, the cache key, from being reused.
+        parts: The costs of its parts in order.
     """
 
     path: Path
@@ -52,12 +52,12 @@
 def path_costs_of(
     path: Path, endpoints: Mapping[str, Endpoint], shape: EngineShape
 ) -> PathCosts:
-    """Return a path with the figures of its parts.
+    """Return a path with the costs of its parts.
 
     Args:
         path: The path.
         endpoints: Endpoints by id.
-        shape: Published figures of the engines.
+        shape: Published performance figures of the engines.
     """
     parts = tuple(
         _part_costs(part, endpoints.get(part.endpoint), shape) for part in path.parts
--- a/packages/core/tests/pipelines/test_choice.py
+++ b/packages/core/tests/pipelines/test_choice.py
@@ -1,4 +1,4 @@
-"""Tests of which path or endpoint a request is sent to."""
+"""Tests of the choice of a path or endpoint for a request."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def make_chooser(fleet, shape):
-    """Return what chooses over an idle fleet."""
+    """Return a path chooser over an idle fleet."""
     return PathChooser(shape, {e.id: e for e in fleet}, LoadTable(), LinkUsage())
 
 
 def fill(chooser, paths, rng):
-    """Fill the fleet with usual requests; return the paths that they took."""
+    """Add requests until one is refused; return their paths and the refusal."""
     taken = []
     while True:
         path = chooser.choose(paths, DEMAND, (), rng, 0.0)
@@ -94,7 +94,7 @@
 
 
 class CountingLoads:
-    """The loads of a fleet, counting the paths that were looked at by their firsts."""
+    """A load table that counts the look-ups of first endpoints, one for each path."""
 
     def __init__(self) -> None:
         self.loads, self.lookups = LoadTable(), 0
@@ -118,9 +118,9 @@
 
 
 def send_requests(chooser, paths, rng, requests, running):
-    """Send requests one after another, some at a time; return the new connections.
+    """Send requests, some at a time, and return the number of new connections.
 
-    A connection that nobody used for 8 requests has been closed.
+    A connection is closed after it was idle for 8 requests.
     """
     idle, busy, connections_made = {}, deque(), 0
     for number in range(requests):
@@ -138,7 +138,10 @@
 
 
 def test_paths_with_an_idle_connection_are_preferred(shape, rng):
-    """Each endpoint of many was met after its last connection had been closed."""
+    """Guards against choosing among many endpoints without regard to connections.
+
+    Each endpoint was then chosen only after its last connection had been closed.
+    """
     many = placed(make_five_zone_fleet(), shape)
     paths = candidate_paths(many, shape)
     connections_made = send_requests(
@@ -168,7 +171,7 @@
 
 
 def test_choosing_from_a_sample_serves_nearly_as_much_as_from_all(fleet, shape, rng):
-    """The exact rule compares all candidates; the draw may cost a twentieth at most."""
+    """Sampling may cost at most a twentieth of the rate of comparing all candidates."""
     paths = candidate_paths(fleet, shape)
     rates = []
     for sample_size in (len(paths), PATH_SAMPLE_SIZE):
--- a/packages/core/tests/pipelines/test_path.py
+++ b/packages/core/tests/pipelines/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of paths through endpoints."""
+"""Tests of the search of candidate paths."""
 
 from __future__ import annotations
 
