--- a/packages/core/src/lacewingcourse/core/pipelines/capacity.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/capacity.py
@@ -1,4 +1,4 @@
-"""What a fleet with its layers in place can serve, by the figures of its engines."""
+"""Capacity of a fleet with its layers in place, by simulated routing of requests."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
     from lacewingcourse.core.pipelines.path import Path
     from lacewingcourse.core.pipelines.shape import EngineShape
 
-#: Choices between two interruptions.
+#: Choices of a path between two yields.
 CHOICES_PER_STEP = 32
 
 
 @attrs.frozen
 class FleetCapacity:
-    """What a fleet can serve of usual requests, with all memory taken.
+    """Capacity of a fleet for requests of mean length, with all memory in use.
 
     Attributes:
-        requests: Requests that fit at once.
-        tokens: Tokens of prompts and answers that these hold at their ends.
-        requests_per_second: Requests that end in a second.
-        first_event_ms: Milliseconds to a first token on an idle fastest path.
-        idle_token_ms: Milliseconds between tokens there.
-        full_token_ms: Mean milliseconds between tokens with all memory taken.
-        paths: Candidate paths.
+        requests: Number of requests that fit at once.
+        tokens: Tokens of their prompts and answers at their ends.
+        requests_per_second: Requests that end per second.
+        first_event_ms: Milliseconds to the first token on the fastest path when idle.
+        idle_token_ms: Milliseconds between tokens on that path when idle.
+        full_token_ms: Mean milliseconds between tokens with all memory in use.
+        paths: Number of candidate paths.
     """
 
     requests: int
@@ -50,21 +50,21 @@
 
 @attrs.define
 class RoundRobin:
-    """A source of draws without chance: equal choices are taken in turn.
+    """Deterministic `RandomSource` that takes equally good paths in turn.
 
     Attributes:
-        count: Draws so far.
+        count: Number of choices so far.
     """
 
     count: int = 0
 
     def choice(self, found: list[Path]) -> Path:
-        """Return one of some equally good paths."""
+        """Return one of some paths, the next one at the next call."""
         self.count += 1
         return found[self.count % len(found)]
 
     def sample(self, found: list[Path], count: int) -> list[Path]:
-        """Return some of them, others at the next draw."""
+        """Return a run of some paths; it starts at a position that choices advance."""
         start = self.count % len(found)
         return (found[start:] + found[:start])[:count]
 
@@ -72,15 +72,16 @@
 def fleet_capacity(
     endpoints: list[Endpoint], shape: EngineShape, rng: RandomSource
 ) -> FleetCapacity | None:
-    """Return what endpoints can serve, None if no path holds every layer.
+    """Return the capacity of endpoints, None if no path covers every layer.
 
-    The fleet is filled with usual requests by the same decisions that serve callers,
-    so the bound is one of these decisions on these figures, not of any router.
+    The fleet is filled with requests of mean length by the path choice that serves
+    callers. The result is therefore the capacity under this path choice, not an upper
+    bound for every possible router.
 
     Args:
         endpoints: Endpoints with their layers.
-        shape: Published figures of their engines.
-        rng: Source of draws among equal paths.
+        shape: Published performance figures of their engines.
+        rng: Source of choices among equally good paths.
     """
     return finish(search_fleet_capacity(endpoints, shape, rng))
 
@@ -88,9 +89,14 @@
 def search_fleet_capacity(
     endpoints: list[Endpoint], shape: EngineShape, rng: RandomSource
 ) -> Generator[None, None, FleetCapacity | None]:
-    """Find what endpoints can serve, see `fleet_bound`.
+    """Compute the capacity of endpoints, see `fleet_capacity`.
 
-    Yields where it may be interrupted.
+    Yields at points where it may be interrupted.
+
+    Args:
+        endpoints: Endpoints with their layers.
+        shape: Published performance figures of their engines.
+        rng: Source of choices among equally good paths.
     """
     paths = candidate_paths(endpoints, shape)
     if not paths:
@@ -113,7 +119,7 @@
 def _fill_with_requests(
     chooser: PathChooser, paths: list[Path], demand: Demand, rng: RandomSource
 ) -> Generator[None, None, list[Path]]:
-    """Put requests on paths until none fits; return the path of each."""
+    """Add requests until no path has capacity; return the path of each request."""
     taken: list[Path] = []
     while True:
         path = chooser.choose(paths, demand, (), rng, now=0.0)
@@ -126,7 +132,7 @@
 
 
 def _prefill_ms(chooser: PathChooser, path: Path, demand: Demand) -> float:
-    """Return the milliseconds in which an idle path reads a prompt."""
+    """Return the milliseconds of a prompt's prefill on an idle path."""
     total = 0.0
     for part in path.parts:
         accelerator = chooser.shape.accelerators[
--- a/packages/core/src/lacewingcourse/core/pipelines/copies.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/copies.py
@@ -1,4 +1,4 @@
-"""Whole copies of a model on empty endpoints: how many, and with how much memory."""
+"""Plans of whole model copies on empty endpoints: how many, with how much memory."""
 
 from __future__ import annotations
 
@@ -15,21 +15,22 @@
     from lacewingcourse.core.pipelines.fleet import Endpoint
     from lacewingcourse.core.pipelines.shape import EngineShape
 
-#: Usual requests for which every copy of the model keeps memory at the least. Below
-#: that a copy is full while its accelerators idle.
+#: Minimum number of mean-length requests for which each copy of the model has memory.
+#: With less, the memory of a copy is full while its accelerators idle.
 MIN_REQUESTS_PER_COPY = 12
-#: Usual requests for which copies are given memory at the most, as shares of those
-#: that an engine takes as the first of a path; more could not be filled by one first
-#: endpoint. Little memory keeps a copy on the fastest accelerators, much of it serves
-#: more at once, more slowly; which is better depends on the accelerators.
+#: Upper limits of a copy's request memory that are tried, as shares of the memory for
+#: as many mean-length requests as an engine accepts as the first part of a path; one
+#: first endpoint could not fill more. Copies with little memory fit on the fastest
+#: accelerators, copies with much memory serve more requests at once, but more slowly.
+#: Which is better depends on the accelerators.
 MEMORY_TARGETS = (0.25, 0.5, 1.0)
-#: Factor between the amounts of memory that are tried.
+#: Factor between successive amounts of request memory that are tried.
 MEMORY_STEP_FACTOR = 1.15
 
 
 @attrs.frozen
 class Assignment:
-    """Layers that an endpoint shall hold.
+    """Layers that an endpoint is to load.
 
     Attributes:
         endpoint: Id of the endpoint.
@@ -41,12 +42,12 @@
 
 
 def layers_that_fit(endpoint: Endpoint, shape: EngineShape, tokens: float) -> int:
-    """Return how many layers leave memory for some tokens on an endpoint.
+    """Return how many layers fit on an endpoint beside the memory for some tokens.
 
     Args:
         endpoint: The endpoint.
-        shape: Published figures of its engine.
-        tokens: Tokens, each of which takes memory in every held layer.
+        shape: Published performance figures of its engine.
+        tokens: Tokens, each of which takes memory in every layer that is held.
     """
     accelerator = shape.accelerators[endpoint.accelerator]
     layer_mb = shape.layer_mb + tokens * shape.token_layer_bytes / MEGABYTE
@@ -54,17 +55,21 @@
 
 
 def slowness(endpoint: Endpoint, shape: EngineShape) -> float:
-    """Return how slow an endpoint's accelerator is, smallest first."""
+    """Return the step factor of an endpoint's accelerator, lowest for the fastest."""
     return shape.accelerators[endpoint.accelerator].step_factor
 
 
 def copy_plans(
     endpoints: list[Endpoint], shape: EngineShape
 ) -> list[tuple[Assignment, ...]]:
-    """Return different ways to put whole copies of the model on empty endpoints.
+    """Return alternative plans of whole model copies on empty endpoints.
 
-    For each number of copies that fits, with each bound on their memory, the one with
-    the most memory.
+    For each limit in `MEMORY_TARGETS` and each number of copies that fits, the plan
+    with the most request memory per copy is returned.
+
+    Args:
+        endpoints: Endpoints without layers.
+        shape: Published performance figures of their engines.
     """
     return finish(search_copies(endpoints, shape))
 
@@ -72,9 +77,13 @@
 def search_copies(
     endpoints: list[Endpoint], shape: EngineShape
 ) -> Generator[None, None, list[tuple[Assignment, ...]]]:
-    """Look for ways to put whole copies on empty endpoints, see `copy_plans`.
+    """Search plans of whole copies on empty endpoints, see `copy_plans`.
 
-    Yields where the search may be interrupted.
+    Yields at points where it may be interrupted.
+
+    Args:
+        endpoints: Endpoints without layers.
+        shape: Published performance figures of their engines.
     """
     mean_tokens = shape.mean_request_tokens
     ordered = sorted(endpoints, key=lambda e: (slowness(e, shape), e.address))
@@ -101,11 +110,11 @@
 
 @attrs.frozen
 class Copy:
-    """Endpoints that hold all layers together.
+    """Endpoints that together hold every layer once.
 
     Attributes:
         members: The endpoints in order of their layers.
-        tokens: Tokens for which each has memory at the least.
+        tokens: Tokens for which each endpoint has memory, at least.
     """
 
     members: tuple[Endpoint, ...]
@@ -117,12 +126,12 @@
 ) -> list[Copy]:
     """Return whole copies that each have memory for some tokens.
 
-    The fastest endpoints make the first copy, so that it is as fast as can be.
+    The fastest endpoints form the first copy, so that it is as fast as possible.
 
     Args:
-        endpoints: Endpoints that hold nothing, the fastest first.
-        shape: Published figures of their engines.
-        tokens: Tokens for which each copy has memory at the least.
+        endpoints: Endpoints without layers, the fastest first.
+        shape: Published performance figures of their engines.
+        tokens: Tokens for which each copy has memory, at least.
     """
     spans = _spans_by_accelerator(endpoints, shape, tokens)
     copies: list[Copy] = []
@@ -143,7 +152,7 @@
 def _spans_by_accelerator(
     endpoints: Iterable[Endpoint], shape: EngineShape, tokens: float
 ) -> dict[str, int]:
-    """Return how many layers leave memory for some tokens on each accelerator."""
+    """Return how many layers fit beside the memory for some tokens, by accelerator."""
     kinds = {endpoint.accelerator: endpoint for endpoint in endpoints}
     return {kind: layers_that_fit(each, shape, tokens) for kind, each in kinds.items()}
 
@@ -151,7 +160,7 @@
 def _assign_in_order(
     endpoints: Iterable[Endpoint], shape: EngineShape, tokens: float
 ) -> list[Assignment]:
-    """Return one copy on the first endpoints that hold it; none if it does not fit."""
+    """Return the assignments of one copy, in order; empty if the copy does not fit."""
     spans = _spans_by_accelerator(endpoints, shape, tokens)
     copy: list[Assignment] = []
     position = 0
@@ -166,15 +175,15 @@
 def _maximise_memory(
     copy: Copy, shape: EngineShape, max_tokens: float
 ) -> list[Assignment]:
-    """Return a copy with as much memory as its endpoints can give it.
+    """Return the assignments of a copy with as much request memory as possible.
 
-    Otherwise the last member would hold only what is left over, and the others less
-    memory for requests than the copy could have.
+    Otherwise the last endpoint would hold only the few remaining layers, and the others
+    would have less memory for requests than the copy could have.
 
     Args:
         copy: The copy.
-        shape: Published figures of its engines.
-        most: Tokens for which it has memory at the most.
+        shape: Published performance figures of its engines.
+        max_tokens: Tokens for which it has memory, at most.
     """
     low, high = copy.tokens, max_tokens
     best = _assign_in_order(copy.members, shape, low)
--- a/packages/core/src/lacewingcourse/core/pipelines/layer_memory.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/layer_memory.py
@@ -1,4 +1,4 @@
-"""The memory for requests that each layer's holders have together."""
+"""Total request memory of each layer's holders."""
 
 from __future__ import annotations
 
@@ -12,17 +12,26 @@
 
 
 def token_capacity(endpoints: Iterable[Endpoint], shape: EngineShape) -> list[float]:
-    """Return for each layer how many tokens its holders have memory for."""
+    """Return for each layer the tokens for which its holders have memory.
+
+    Args:
+        endpoints: Endpoints with or without layers.
+        shape: Published performance figures of their engines.
+    """
     return _sum_by_layer(endpoints, shape, lambda accelerator: 1.0)
 
 
 def speed_weighted_capacity(
     endpoints: Iterable[Endpoint], shape: EngineShape
 ) -> list[float]:
-    """Return for each layer the tokens its holders have memory for, by their speed.
+    """Return for each layer the token capacity, each holder's divided by its slowness.
+
+    Memory on a slow accelerator serves fewer tokens per second, since requests occupy
+    it for longer.
 
-    Memory on a slow accelerator serves fewer tokens in a second: requests stay in it
-    for longer.
+    Args:
+        endpoints: Endpoints with or without layers.
+        shape: Published performance figures of their engines.
     """
     return _sum_by_layer(endpoints, shape, lambda a: 1.0 / a.step_factor)
 
@@ -32,7 +41,7 @@
     shape: EngineShape,
     weight: Callable[[Accelerator], float],
 ) -> list[float]:
-    """Return for each layer the tokens that its holders have memory for, weighted."""
+    """Return for each layer the sum of its holders' token capacities, weighted."""
     total = [0.0] * shape.layers
     for endpoint in endpoints:
         if endpoint.layers is None or not len(endpoint.layers):
--- a/packages/core/src/lacewingcourse/core/pipelines/layout.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/layout.py
@@ -1,4 +1,4 @@
-"""Which layers each endpoint holds: cut points, copies and repairs."""
+"""Placement of layers on endpoints: copies of the model, reinforcements and repairs."""
 
 from __future__ import annotations
 
@@ -30,45 +30,47 @@
     from lacewingcourse.core.pipelines.fleet import Endpoint
     from lacewingcourse.core.pipelines.shape import EngineShape
 
-    #: A search that can be interrupted, and what it finds.
+    #: Interruptible search, a generator that returns the assignments found.
     LayoutSearch = Generator[None, None, list[Assignment]]
-    #: A rating that can be interrupted, and the requests a second that it finds.
+    #: Interruptible computation of a layout's rate in requests per second.
     RateSearch = Generator[None, None, float]
 
-#: Share of the time for which one of a group's endpoints is taken to be lost. Without
-#: it a layout with the highest rate has layers that one endpoint alone holds.
+#: Share of the time during which one of a group's endpoints is assumed to be lost.
+#: Without it, the layout with the highest rate has layers with a single holder.
 LOSS_TIME_SHARE = 0.5
-#: Share of the usual strength of a layer that must be left to it if one of its holders
-#: is to move elsewhere. A fast holder beside a slow stand-in is not spare.
+#: Minimum speed-weighted capacity of a layer after one of its holders has moved away,
+#: as a share of the median over the layers. A fast endpoint must not move if only a
+#: slow one would hold its layers.
 MIN_CAPACITY_LEFT = 0.4
-#: Layouts of a group that are compared by simulating load on them; the closed form,
-#: which chooses them among all, is not exact enough for the last decision.
+#: Layouts of a group that are compared by simulating load on them. The closed-form
+#: estimate, which selects them, is not exact enough for the final decision.
 SHORTLIST_SIZE = 2
 
 
 def plan_layout(endpoints: list[Endpoint], shape: EngineShape) -> list[Assignment]:
-    """Return the layers that empty endpoints shall take.
+    """Return the layers that empty endpoints should load.
 
-    Copies stay within an availability zone where its memory allows it: a prompt's
-    activations fill the links between zones long before its parts are busy. What is
-    held already is kept.
+    Each copy stays within an availability zone if the zone has enough memory, because
+    the activations of prompts saturate the links between zones long before the
+    endpoints are busy. Endpoints that hold layers keep them, except for those that are
+    moved to layers without a holder.
 
     Args:
-        endpoints: Endpoints that take new work.
-        shape: Published figures of the engines.
+        endpoints: Endpoints that accept new requests.
+        shape: Published performance figures of the engines.
     """
     return finish(search_layout(endpoints, shape))
 
 
 def search_layout(endpoints: list[Endpoint], shape: EngineShape) -> LayoutSearch:
-    """Look for the layers that empty endpoints shall take, see `plan_layout`.
+    """Search the layers that empty endpoints should load, see `plan_layout`.
 
-    Yields where the search may be interrupted, every few milliseconds, since an entry
-    that searches must pass events on meanwhile.
+    Yields every few milliseconds, so that an entry can forward events of streams while
+    it searches.
 
     Args:
-        endpoints: Endpoints that take new work.
-        shape: Published figures of the engines.
+        endpoints: Endpoints that accept new requests.
+        shape: Published performance figures of the engines.
     """
     plan: list[Assignment] = []
     for group in placement_groups(endpoints, shape):
@@ -79,9 +81,13 @@
 def placement_groups(
     endpoints: list[Endpoint], shape: EngineShape
 ) -> list[list[Endpoint]]:
-    """Return the endpoints that layers can be placed on, by zone.
+    """Return the endpoints that layers can be placed on, grouped by zone.
 
-    Zones too small for a copy go together.
+    Zones too small for a whole copy form one group together.
+
+    Args:
+        endpoints: Endpoints that accept new requests.
+        shape: Published performance figures of the engines.
     """
     known = [
         e for e in endpoints if e.placeable and e.accelerator in shape.accelerators
@@ -101,7 +107,15 @@
 
 
 def search_group_layout(group: list[Endpoint], shape: EngineShape) -> LayoutSearch:
-    """Look for the assignments of a group that shares its copies."""
+    """Search the assignments of a group, see `placement_groups`.
+
+    Only a group without any layers gets a new layout. Otherwise the empty endpoints
+    reinforce the layers that are held. Yields like `search_layout`.
+
+    Args:
+        group: Endpoints that can form copies together.
+        shape: Published performance figures of the engines.
+    """
     empty = [e for e in group if e.layers is None or not len(e.layers)]
     holding = [e for e in group if e not in empty]
     if holding or not empty:
@@ -124,13 +138,13 @@
 
 @attrs.frozen
 class _Layout:
-    """A way to place a group.
+    """A possible layout of a group.
 
     Attributes:
         plan: The assignments.
         placed: The endpoints of the group with their layers.
-        safety: Share of its rate that is left with the losses that are reckoned with.
-        worth: About the usual requests a second that it serves, with these losses.
+        loss_factor: Share of its rate that remains on average with lost endpoints.
+        expected_rate: Estimated mean requests per second that it serves, with losses.
     """
 
     plan: list[Assignment]
@@ -142,7 +156,7 @@
 def _rate_layout(
     copies: tuple[Assignment, ...], empty: list[Endpoint], shape: EngineShape
 ) -> _Layout:
-    """Return the layout of a group with some copies, and about what it is worth."""
+    """Return the layout of a group with some copies, and its estimated rate."""
     plan = _complete_plan(copies, empty, [], shape)
     placed = _apply_plan(empty, plan)
     sole_share = len(sole_holders(placed, shape)) / len(placed)
@@ -154,7 +168,7 @@
 def _whole_copies(
     copies: tuple[Assignment, ...], empty: list[Endpoint], shape: EngineShape
 ) -> list[list[Endpoint]]:
-    """Return the endpoints of each whole copy with their layers."""
+    """Return the endpoints of each copy with their layers."""
     known = {endpoint.id: endpoint for endpoint in empty}
     found: list[list[Endpoint]] = []
     members: list[Endpoint] = []
@@ -172,13 +186,13 @@
     holding: list[Endpoint],
     shape: EngineShape,
 ) -> list[Assignment]:
-    """Return the assignments of a group with those that its copies leave over.
+    """Return copies together with assignments of the endpoints that are not in one.
 
     Args:
-        copies: Assignments that make whole copies.
-        empty: Endpoints of the group that hold nothing.
-        holding: The others.
-        shape: Published figures of the engines.
+        copies: Assignments that form whole copies.
+        empty: Endpoints of the group that hold no layers.
+        holding: The other endpoints of the group.
+        shape: Published performance figures of the engines.
     """
     plan = list(copies)
     taken = {assignment.endpoint: assignment for assignment in plan}
@@ -193,13 +207,13 @@
 
 
 def _apply_plan(endpoints: list[Endpoint], plan: list[Assignment]) -> list[Endpoint]:
-    """Return endpoints as they will be once a plan is carried out."""
+    """Return endpoints with the layers that they hold after a plan."""
     taken = {assignment.endpoint: assignment for assignment in plan}
     return [_with_layers(e, taken[e.id]) if e.id in taken else e for e in endpoints]
 
 
 def sole_holders(endpoints: list[Endpoint], shape: EngineShape) -> list[Endpoint]:
-    """Return the endpoints that alone hold one of their layers."""
+    """Return the endpoints that are the only holder of at least one layer."""
     holders = [0] * shape.layers
     held = [e for e in endpoints if e.layers is not None]
     for endpoint in held:
@@ -211,14 +225,14 @@
 
 
 def request_rate(endpoints: list[Endpoint], shape: EngineShape) -> float:
-    """Return the usual requests a second that endpoints with their layers serve."""
+    """Return the mean requests per second that endpoints with their layers serve."""
     return finish(search_request_rate(endpoints, shape))
 
 
 def search_request_rate(endpoints: list[Endpoint], shape: EngineShape) -> RateSearch:
-    """Find the usual requests a second that endpoints serve, see `rate_of`.
+    """Compute the requests per second that endpoints serve, see `request_rate`.
 
-    Yields where it may be interrupted.
+    Yields at points where it may be interrupted.
     """
     if min(speed_weighted_capacity(endpoints, shape)) <= 0:
         return 0.0
@@ -227,9 +241,9 @@
 
 
 def _fill_gaps(holding: list[Endpoint], shape: EngineShape) -> list[Assignment]:
-    """Return moves of endpoints that can be spared to layers that nobody holds.
+    """Return moves of spare endpoints to layers without a holder.
 
-    A copy with a gap serves nothing, however much memory its other parts have.
+    A copy with a gap serves no requests, however much memory its other parts have.
     """
     plan: list[Assignment] = []
     members = list(holding)
@@ -254,7 +268,13 @@
 
 
 def can_spare(endpoint: Endpoint, members: list[Endpoint], shape: EngineShape) -> bool:
-    """Tell whether the others hold an endpoint's layers about as well without it."""
+    """Return whether an endpoint's layers keep enough capacity without it.
+
+    Args:
+        endpoint: The endpoint, which holds layers.
+        members: Endpoints of its group, including it.
+        shape: Published performance figures of the engines.
+    """
     typical = median(s for s in speed_weighted_capacity(members, shape) if s > 0)
     others = [other for other in members if other.id != endpoint.id]
     left = speed_weighted_capacity(others, shape)
@@ -264,7 +284,7 @@
 
 
 def _coverable_layers(endpoint: Endpoint, gap: Layers, shape: EngineShape) -> int:
-    """Return how many layers of a gap an endpoint can take."""
+    """Return how many layers of a gap an endpoint can hold."""
     min_tokens = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
     return min(len(gap), layers_that_fit(endpoint, shape, min_tokens))
 
@@ -272,9 +292,10 @@
 def _weakest_range(
     endpoint: Endpoint, holding: list[Endpoint], shape: EngineShape
 ) -> Assignment | None:
-    """Return the weakest range of layers that an endpoint can take.
+    """Return an assignment to the layers with the least speed-weighted capacity.
 
-    Layers that nobody holds come first: they stand for no tokens at all.
+    Layers without a holder come first. None if the endpoint's memory holds fewer layers
+    than the assignment needs.
     """
     span = layers_that_fit(endpoint, shape, _typical_token_capacity(holding, shape))
     span = max(span, 1)
@@ -295,10 +316,10 @@
 
 
 def _typical_token_capacity(holding: list[Endpoint], shape: EngineShape) -> float:
-    """Return the tokens for which a usual holder has memory in each of its layers.
+    """Return the tokens for which a typical holder has memory in each of its layers.
 
-    The lower quartile: those at the end of a copy, which hold what was left over, have
-    more memory than the copy can use.
+    This is the lower quartile, because the endpoint at the end of a copy may hold only
+    a few remaining layers, and then has more memory than the copy can use.
     """
     capacities = sorted(
         shape.kv_capacity(shape.accelerators[e.accelerator], len(e.layers))
@@ -312,7 +333,7 @@
 
 
 def _longest_gap(capacity: list[float]) -> Layers | None:
-    """Return the longest run of layers that nobody holds, None if there is none."""
+    """Return the longest run of layers without a holder, None if there is none."""
     best: Layers | None = None
     start: int | None = None
     for layer, tokens in enumerate([*capacity, 1.0]):
@@ -326,5 +347,5 @@
 
 
 def _with_layers(endpoint: Endpoint, assignment: Assignment) -> Endpoint:
-    """Return an endpoint as it will be once it holds its layers."""
+    """Return an endpoint with the layers of its assignment."""
     return attrs.evolve(endpoint, layers=assignment.layers)
--- a/packages/core/src/lacewingcourse/core/pipelines/rate_estimate.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/rate_estimate.py
@@ -1,4 +1,4 @@
-"""The rate of a layout by a closed form, to compare many of them."""
+"""Closed-form estimate of a layout's request rate, to compare many layouts."""
 
 from __future__ import annotations
 
@@ -18,17 +18,19 @@
 def estimated_rate(
     copies: Iterable[list[Endpoint]], placed: list[Endpoint], shape: EngineShape
 ) -> float:
-    """Return about how many usual requests a second a layout serves.
+    """Return the estimated mean-length requests per second that a layout serves.
 
-    Each whole copy serves what its weakest part has memory for, in the time that this
-    takes through all its parts. What other endpoints add to the weakest layer of all
-    raises that by as much. Ways through several copies, zones and links are left out,
-    so this says which of two layouts is better rather than how good one is.
+    Each whole copy runs as many requests as its part with the least memory holds, up to
+    the slots of its first part, each for the time that it takes through all parts. The
+    sum is scaled by the requests that the weakest layer holds over all endpoints,
+    in and outside of the copies, relative to those of the copies. Paths through several
+    copies, zones and links are ignored, so the estimate ranks layouts rather than
+    predicting their rates.
 
     Args:
         copies: Endpoints of each whole copy, with their layers.
         placed: All endpoints with their layers.
-        shape: Published figures of their engines.
+        shape: Published performance figures of their engines.
     """
     rate = requests = 0.0
     for members in copies:
@@ -48,7 +50,7 @@
 
 
 def _max_requests(endpoint: Endpoint, shape: EngineShape) -> float:
-    """Return the usual requests for which an endpoint has room in each layer."""
+    """Return the mean-length requests for which an endpoint has memory per layer."""
     held = len(endpoint.layers)
     accelerator = shape.accelerators[endpoint.accelerator]
     tokens = MAX_MEMORY_SHARE * shape.kv_capacity(accelerator, held) / held
@@ -58,7 +60,7 @@
 def _request_ms(
     members: list[Endpoint], concurrency: float, shape: EngineShape
 ) -> float:
-    """Return how long a copy takes for a request beside some others."""
+    """Return the milliseconds of a request beside others on a copy."""
     total = 0.0
     for endpoint in members:
         kind, span = shape.accelerators[endpoint.accelerator], len(endpoint.layers)
--- a/packages/core/tests/pipelines/test_capacity.py
+++ b/packages/core/tests/pipelines/test_capacity.py
@@ -1,4 +1,4 @@
-"""Tests of what a fleet can serve."""
+"""Tests of the capacity of a fleet."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def equal_cut(endpoints, shape):
-    """Return the endpoints with equal parts of the layers, in order of their names."""
+    """Return the endpoints with ranges of ten layers, one after another."""
     held, position = [], 0
     for endpoint in endpoints:
         most = shape.max_layers(KINDS[endpoint.accelerator])
@@ -27,7 +27,10 @@
 
 
 def test_the_layout_serves_more_than_the_fastest_accelerators_filled_up(shape, rng):
-    """Layers on fast accelerators to the brim leave no memory for requests."""
+    """Guards against filling fast accelerators with layers.
+
+    They then have no memory left for requests.
+    """
     members = sorted(make_fleet(), key=lambda e: KINDS[e.accelerator].step_factor)
     held, position = [], 0
     for endpoint in members:
--- a/packages/core/tests/pipelines/test_copies.py
+++ b/packages/core/tests/pipelines/test_copies.py
@@ -1,4 +1,4 @@
-"""Tests of how many copies of a model are made, and with how much memory."""
+"""Tests of the number and memory of model copies."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "plain": Accelerator("plain", 21_600, 16.0, 8.2),
     "tight": Accelerator("tight", 14_400, 15.0, 15.0),
 }
-#: A group in which copies with much memory leave most layers to one holder each.
+#: A group in which copies with much memory leave most layers with a single holder.
 SCARCE = {"quick": 1, "plain": 7, "tight": 5}
 #: Groups of one larger deployment, by zone.
 AMPLE = [
@@ -28,8 +28,7 @@
     {"quick": 1, "plain": 8, "tight": 13},
 ]
 
-
-#: Figures of the engines of a small and of a large deployment.
+#: Performance figures that the engines of the small and the large deployment share.
 FIGURES = {
     "step_ms": 0.85,
     "pipe_mbps": 2_000.0,
@@ -73,9 +72,10 @@
 
 
 def test_the_layout_prefers_fewer_sole_holders_over_the_highest_rate():
-    """The plan with the most memory serves 20.5 a second, but 11 losses of 13 stop it.
+    """Guards against choosing the layout with the highest rate regardless of losses.
 
-    The one that is taken serves 18.4, and 7 losses stop it.
+    That layout serves 20.5 requests per second, but the loss of any of 11 of the 13
+    endpoints stops it. The chosen one serves 18.4, and only 7 losses stop it.
     """
     found = placed(group(SCARCE, "east"), SMALL)
     assert len(sole_holders(found, SMALL)) <= 7
@@ -83,10 +83,11 @@
 
 
 def test_a_large_fleet_serves_its_load_after_any_single_loss():
-    """At 69.9 requests a second the fleet served 70.6 after its worst loss before.
+    """Guards against too low a limit on the memory of copies.
 
-    With all endpoints it served 89.4; copies had memory for 48 requests at the most.
-    Now it serves 109.8, and 97.2 after the worst single loss.
+    With memory for at most 48 requests per copy, the fleet served 89.4 requests per
+    second, and 70.6 after the worst single loss, at a load of 69.9. With the present
+    limits it serves 109.8, and 97.2 after the worst single loss.
     """
     fleet = [e for i, kinds in enumerate(AMPLE) for e in group(kinds, f"zone{i}")]
     found = placed(fleet, LARGE)
--- a/packages/core/tests/pipelines/test_layout.py
+++ b/packages/core/tests/pipelines/test_layout.py
@@ -1,4 +1,4 @@
-"""Tests of which layers each endpoint is given."""
+"""Tests of the placement of layers on endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def fits(endpoint, layers, shape):
-    """Tell whether an endpoint's memory holds some layers."""
+    """Return whether some layers fit in an endpoint's memory."""
     return len(layers) * shape.layer_mb <= KINDS[endpoint.accelerator].memory_mb
 
 
@@ -76,9 +76,10 @@
 
 @pytest.mark.parametrize("zone_kinds", [("large", "middle", "middle", "small")])
 def test_one_copy_is_about_as_fast_as_the_best_of_all_orders(zone_kinds):
-    """Compare with every cut of a small model over the same endpoints.
+    """Compare with every split of a small model over the same endpoints.
 
-    A copy spreads over one part more where that leaves each more memory.
+    One more hop is allowed: a copy may use an additional part if each part then has
+    more memory.
     """
     small = make_shape(layers=8, layer_mb=17_500.0, token_bytes=1_836_000)
     members = [make_endpoint(f"e{i}", kind) for i, kind in enumerate(zone_kinds)]
@@ -89,7 +90,7 @@
 
 
 def best_token_ms(members, shape):
-    """Return the least time of a token over all ways to cut the layers."""
+    """Return the minimum milliseconds per token over all ways to split the layers."""
     least = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
     best = float("inf")
     for chosen in itertools.permutations(members):
@@ -107,7 +108,7 @@
 
 
 def splits(most, layers):
-    """Yield every way to give out the layers."""
+    """Yield every way to split some layers, with a maximum for each endpoint."""
     if not most:
         if layers == 0:
             yield ()
@@ -129,7 +130,7 @@
 
 
 def test_a_fast_endpoint_takes_over_layers_that_only_slow_ones_hold(shape):
-    """A fast endpoint that restarts gets back its layers from slow stand-ins."""
+    """A restarted fast endpoint gets its layers back although slow ones hold them."""
     slow = [
         holding(make_endpoint(f"s{start}", "small"), start, start + 7)
         for start in range(0, 35, 7)
@@ -165,7 +166,7 @@
 
 
 def test_a_fast_holder_beside_a_slow_one_does_not_move(shape):
-    """Its layers would be left to a stand-in that is too slow to serve them."""
+    """Otherwise only endpoints too slow to serve its layers would hold them."""
     held = [
         holding(make_endpoint("a", "large"), 0, 25),
         holding(make_endpoint("m1", "middle"), 50, 65),
--- a/packages/core/tests/pipelines/test_rate_estimate.py
+++ b/packages/core/tests/pipelines/test_rate_estimate.py
@@ -1,4 +1,4 @@
-"""Tests of the closed form by which layouts are compared."""
+"""Tests of the closed-form estimate that ranks layouts."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     placed,
 )
 
-#: Share of the best layout's rate that the one chosen by the closed form must serve.
+#: Minimum share of the best layout's rate that the chosen layout must serve.
 LEAST_SHARE = 0.9
 
 
@@ -32,7 +32,7 @@
     "fleet", [make_fleet(), make_five_zone_fleet()], ids=["33", "114"]
 )
 def test_the_chosen_layout_serves_nearly_as_much_as_the_best(fleet, shape):
-    """The best is found by filling each layout with requests one by one."""
+    """The best layout is found by filling each one with requests one by one."""
     for group in placement_groups(fleet, shape):
         layouts = [
             _rate_layout(copies, group, shape) for copies in copy_plans(group, shape)
@@ -48,7 +48,7 @@
 
 
 def test_the_estimate_ranks_layouts_much_as_filling_them_does(shape):
-    """Of two layouts that differ by a fifth the better one is told in most cases."""
+    """Of two layouts that differ by a fifth, the better one is found in most cases."""
     agreed = compared = 0
     for group in placement_groups(make_five_zone_fleet(), shape):
         layouts = [
@@ -81,7 +81,10 @@
 
 
 def test_a_layout_search_yields_often(shape):
-    """An entry that searched in a few long steps looked dead to all others."""
+    """Guards against long steps of a search, during which an entry sends no messages.
+
+    Other entries then took the searching entry for dead.
+    """
     zones = {zone for zone, _, _ in FLEET}
     steps = sum(1 for _ in search_layout(make_fleet(), shape))
     assert steps >= 20 * len(zones)
