--- a/packages/core/src/lacewingcourse/core/pipelines/rebalancing.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/rebalancing.py
@@ -1,4 +1,4 @@
-"""Moves of endpoints that bring a fleet back to the layout that it would get anew."""
+"""Moves of endpoints towards the layout that an empty fleet would get."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     from lacewingcourse.core.pipelines.layout import LayoutSearch
     from lacewingcourse.core.pipelines.shape import EngineShape, Layers
 
-#: Gain in requests a second, as a factor, below which nothing is moved; the figures of
-#: a fleet with other cut points differ by a few in a hundred without meaning.
+#: Minimum ratio of the request rates after and before the moves. Rates of equally good
+#: layouts with different layer boundaries differ by a few percent.
 MIN_GAIN_FACTOR = 1.08
-#: Seconds until the streams that pass through an endpoint have ended, for nearly all.
+#: Seconds within which nearly all streams through an endpoint have ended.
 STREAM_DRAIN_SECONDS = 5.0
 
 
@@ -34,7 +34,7 @@
     stable_seconds: float,
     search_index: int,
 ) -> list[Assignment]:
-    """Return moves that pay and can be made now, see `search_improvement`."""
+    """Return moves that are worth their cost, see `search_rebalancing`."""
     return finish(search_rebalancing(endpoints, shape, stable_seconds, search_index))
 
 
@@ -44,22 +44,23 @@
     stable_seconds: float,
     search_index: int,
 ) -> LayoutSearch:
-    """Look for moves that pay and can be made now without leaving a layer to nobody.
+    """Search moves that are worth their cost and leave every layer with a holder.
 
-    Repairs fill gaps with what can be spared at that moment. When the endpoints that
-    were lost come back, the stand-ins stay where they were sent, and other layers miss
-    them. A move takes its endpoint out for some seconds, though, so it pays only if
-    what follows is quiet for long enough. A fleet that has been quiet for some time is
-    taken to stay so for as long.
+    Repairs fill gaps with endpoints that are spare at that moment. When lost endpoints
+    come back, their replacements stay where they were moved, and the layers that these
+    held before lack capacity. A move takes its endpoint out of service for some
+    seconds, so it is worth its cost only if the fleet then stays unchanged for long
+    enough. A fleet is assumed to stay unchanged for as long as it has been.
 
-    One group of endpoints is looked at in a search, which yields where it may be
+    Each search considers one group of endpoints, and yields at points where it may be
     interrupted.
 
     Args:
-        endpoints: Endpoints that take new work, all of which hold layers.
-        shape: Published figures of the engines.
-        quiet: Seconds since the fleet last changed.
-        turn: Counts the searches; it says which group is looked at.
+        endpoints: Endpoints that accept new requests. A group with an endpoint without
+            layers is not rebalanced.
+        shape: Published performance figures of the engines.
+        stable_seconds: Seconds since the fleet last changed.
+        search_index: Number of earlier searches; selects the group, in turn.
     """
     groups = placement_groups(endpoints, shape)
     if not groups:
@@ -73,7 +74,7 @@
 def _search_moves(
     group: list[Endpoint], shape: EngineShape, stable_seconds: float
 ) -> LayoutSearch:
-    """Look for the moves of a group that shares its copies."""
+    """Search the moves within a group."""
     empty = [attrs.evolve(e, layers=None) for e in group]
     fresh_plan = yield from search_layout(empty, shape)
     kinds = {e.id: e.accelerator for e in group}
@@ -96,7 +97,7 @@
 
 
 def _move_seconds(plan: list[Assignment], shape: EngineShape) -> float:
-    """Return how long moves take, one load after another after the last stream."""
+    """Return the seconds that moves take: drain the streams, then load in sequence."""
     share = sum(len(assignment.layers) for assignment in plan) / shape.layers
     return STREAM_DRAIN_SECONDS + share * shape.load_seconds
 
@@ -104,7 +105,15 @@
 def _match_ranges(
     group: list[Endpoint], ranges: list[tuple[str, Layers]]
 ) -> dict[str, Layers]:
-    """Give ranges to endpoints of their accelerators so that most stay in place."""
+    """Match ranges to endpoints of the same accelerator, keeping ranges already held.
+
+    Args:
+        group: Endpoints with their layers.
+        ranges: Name of the accelerator and layers of each range.
+
+    Returns:
+        The layers by id of the endpoint.
+    """
     unassigned: dict[str, list[Layers]] = defaultdict(list)
     for kind, layers in ranges:
         unassigned[kind].append(layers)
@@ -122,7 +131,7 @@
 def _movable_together(
     moves: list[Endpoint], group: list[Endpoint], shape: EngineShape
 ) -> list[Endpoint]:
-    """Return the endpoints that can be spared together while they move."""
+    """Return the endpoints that can all be out of service at once, slowest first."""
     staying = list(group)
     found: list[Endpoint] = []
     for endpoint in sorted(moves, key=lambda e: slowness(e, shape), reverse=True):
--- a/packages/core/tests/pipelines/test_rebalancing.py
+++ b/packages/core/tests/pipelines/test_rebalancing.py
@@ -1,4 +1,4 @@
-"""Tests of moves that bring a fleet back to a good layout."""
+"""Tests of moves that rebalance a fleet's layers."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 from .conftest import make_fleet
 
-#: Seconds of quiet after which any gain pays.
+#: Seconds without a change after which any gain is worth its moves.
 LONG_STABLE_SECONDS = 3600.0
-#: Availability zones, each with a group of its own.
+#: Number of availability zones, each of which is a group.
 ZONES = 3
 
 
@@ -29,24 +29,24 @@
 
 
 def apply_layout(endpoints, shape):
-    """Return endpoints with the layers of a plan, those that hold some kept."""
+    """Return endpoints with the layers of a plan; the others keep theirs."""
     layers = {a.endpoint: a.layers for a in plan_layout(endpoints, shape)}
     return [attrs.evolve(e, layers=layers.get(e.id, e.layers)) for e in endpoints]
 
 
 def rate_of(endpoints, shape):
-    """Return the requests a second that endpoints can serve."""
+    """Return the requests per second that endpoints can serve."""
     return fleet_capacity(endpoints, shape, Random(0)).requests_per_second
 
 
 @pytest.fixture
 def fleet(shape):
-    """A fleet of three zones, laid out."""
+    """A fleet of three zones with a planned layout in place."""
     return apply_layout(make_fleet(), shape)
 
 
 def lose_and_return(fleet, shape, index):
-    """Return a fleet that repaired the loss of an endpoint which then came back."""
+    """Return a fleet that lost an endpoint, was repaired, and got it back empty."""
     lost = fleet[index]
     repaired = apply_layout([e for e in fleet if e.id != lost.id], shape)
     returned = attrs.evolve(lost, id=f"{lost.id}-new", layers=None)
@@ -81,7 +81,7 @@
 
 
 def test_a_fleet_that_has_just_changed_is_left_alone(fleet, shape):
-    """A move takes longer than such a fleet stays as it is."""
+    """A move takes longer than the fleet is expected to stay unchanged."""
     fleet = lose_and_return(fleet, shape, 8)
     assert moves_of(fleet, shape)
     assert moves_of(fleet, shape, stable_seconds=0.0) == {}
