--- a/packages/core/src/lacewingcourse/core/pipelines/fleet.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/fleet.py
@@ -1,4 +1,4 @@
-"""Which endpoints there are, and what each of them holds."""
+"""The known endpoints and the layers that each of them holds."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 if TYPE_CHECKING:
     from lacewingcourse.core.pipelines.shape import EngineShape
 
-#: Seconds after the return of a directory that was away in which endpoints that
-#: lapsed meanwhile are kept: they register again within about two seconds.
+#: Seconds after an outage of the directory for which endpoints whose entries lapsed are
+#: kept: endpoints register again within about two seconds.
 REREGISTRATION_GRACE = 2.0
-#: Seconds without an answer after which the directory was away. Entries lapse after
-#: three heartbeats of about a second, so none lapses in a shorter time.
+#: Seconds without an answer of the directory that count as an outage. Entries lapse
+#: after three missed heartbeats of about a second each, so none lapses in less time.
 OUTAGE_AFTER = 2.0
-#: Endpoints that are gone of which the last entry is remembered, so that an entry
-#: that was written before it and arrives after it does not bring them back.
+#: Maximum number of removed endpoints whose last entry is kept. An older entry that
+#: arrives after it must not add the endpoint again.
 MAX_ENDED = 512
 
 
 class EntryEffect(Enum):
-    """What an entry changed."""
+    """The effect of a directory entry on the fleet."""
 
     NOTHING = "nothing"
     CHANGED = "changed"
@@ -35,22 +35,22 @@
 
 @attrs.frozen
 class Endpoint:
-    """One incarnation of an endpoint, as its directory entry tells.
+    """One incarnation of an endpoint, as described by its directory entry.
 
     Attributes:
         id: Identifier of the incarnation, see `Incarnation.id`.
-        service: Service that it serves.
+        service: Name of the service that it serves.
         address: Its IP address and port.
-        zone: Availability zone.
+        zone: Its availability zone.
         slots: Requests that it runs at once.
-        leaving: Whether it has announced its end.
+        leaving: Whether it has announced its shutdown.
         accelerator: Name of its kind of accelerator, empty for plain services.
         layers: Layers that it holds, None for none.
         weights: Version of the weights that it holds.
         placeable: Whether it runs a model in parts, so that layers are placed on it.
-        name: Name under which it registers; its later incarnations have the same.
-        born: Unix milliseconds of its start, `UNTOLD` if it does not tell.
-        sequence: Counts the entries that this incarnation wrote.
+        name: Name under which it registers; its later incarnations keep it.
+        born: Unix milliseconds of its start, `UNTOLD` if the entry lacks it.
+        sequence: Number of the entry among those that this incarnation wrote.
     """
 
     id: str
@@ -69,11 +69,15 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The start that the entry is about."""
+        """The incarnation that the entry describes."""
         return Incarnation(self.name, self.born)
 
     def fits(self, shape: EngineShape) -> bool:
-        """Tell whether what it tells is possible by the figures of its service."""
+        """Return whether its accelerator and layers are possible in its service.
+
+        Args:
+            shape: Published performance figures of the service's engines.
+        """
         accelerator = shape.accelerators.get(self.accelerator)
         if accelerator is None:
             return False
@@ -83,10 +87,10 @@
         return possible and len(self.layers) <= shape.max_layers(accelerator)
 
     def is_outdated(self, known: Endpoint) -> bool:
-        """Tell whether this entry was written before another one of the endpoint.
+        """Return whether this entry was written before another one of the endpoint.
 
-        Counts start anew with the endpoint, so they are compared only where both tell
-        the same start.
+        Sequence numbers restart with the endpoint, so they are compared only within an
+        incarnation whose start is known.
         """
         if self.born == known.born and self.born != UNTOLD:
             return self.sequence < known.sequence
@@ -95,17 +99,17 @@
 
 @attrs.define
 class Fleet:
-    """The endpoints, by the newest entry of each.
+    """The known endpoints, by the newest directory entry of each.
 
     Attributes:
-        endpoints: Present endpoints by id.
-        lapsed: Endpoints whose entry is gone but that are kept, with the time until
-            which they are.
-        known_at: Time as of which the entries were last known to be all, seconds.
-        returned_at: When the directory last answered after having been away.
-        revision: Counts the changes that matter to routing and placement.
-        ids: Id of the present incarnation by the endpoint's name.
-        ended: Last entry of endpoints that are gone, by name, oldest first.
+        endpoints: Current endpoints by id.
+        lapsed: Time until which endpoints without an entry are kept, seconds, by id.
+        known_at: Time as of which the entries were last known to be complete, seconds.
+        returned_at: Time of the directory's first answer after its last outage,
+            seconds.
+        revision: Number of changes that affect routing and placement.
+        current_ids: Id of the current incarnation by the endpoint's name.
+        ended: Last entries of removed endpoints by name, oldest first.
     """
 
     endpoints: dict[str, Endpoint] = attrs.field(factory=dict)
@@ -117,12 +121,12 @@
     ended: dict[str, Endpoint] = attrs.field(factory=dict)
 
     def put(self, endpoint: Endpoint, recognised: bool = True) -> EntryEffect:
-        """Take an entry; return what it changed.
+        """Apply a directory entry and return its effect.
 
         Args:
-            endpoint: What the entry tells.
-            recognised: Whether its service is configured. Only then does it take the
-                place of another endpoint at its address.
+            endpoint: The endpoint that the entry describes.
+            recognised: Whether its service is configured. Only then does it replace
+                other endpoints at its address.
         """
         known = self.current_incarnation(endpoint.name)
         last = known or self.ended.get(endpoint.name)
@@ -143,13 +147,17 @@
         return EntryEffect.RESTARTED if restarted else EntryEffect.CHANGED
 
     def current_incarnation(self, name: str) -> Endpoint | None:
-        """Return the present incarnation of an endpoint, None if there is none."""
+        """Return the current incarnation of an endpoint by name, None if unknown."""
         return self.endpoints.get(self.current_ids.get(name, ""))
 
     def record_start(self, name: str, born: int) -> bool:
-        """Take from an endpoint's own word when it started; tell whether that is new.
+        """Apply the start time that an endpoint reported; return whether it is newer.
 
-        An endpoint that started again holds nothing, whatever its last entry says.
+        A restarted endpoint holds no layers, whatever its last entry says.
+
+        Args:
+            name: Name under which it registers.
+            born: Unix milliseconds of its start.
         """
         known = self.current_incarnation(name)
         if known is None or not Incarnation(name, born).replaces(known.incarnation):
@@ -162,10 +170,14 @@
         return True
 
     def remove(self, name: str, now: float) -> bool:
-        """Take the end of an entry; tell whether the endpoint is gone now.
+        """Apply the removal of an entry; return whether the endpoint was dropped.
 
-        An entry that lapsed while the directory was away is kept until the endpoint
-        had time to register again.
+        After an outage of the directory, an endpoint whose entry lapsed is kept until
+        it has had time to register again.
+
+        Args:
+            name: Name under which the endpoint registered.
+            now: Current time in seconds.
         """
         known = self.current_incarnation(name)
         if known is None:
@@ -178,35 +190,38 @@
         return True
 
     def keep_only(self, present: set[str], now: float) -> None:
-        """Take a whole listing: every endpoint outside it has lost its entry.
+        """Apply a complete listing: remove every endpoint that is not in it.
 
         Args:
             present: Names in the listing.
-            now: Present time in seconds.
+            now: Current time in seconds.
         """
         for endpoint in list(self.endpoints.values()):
             if endpoint.name not in present and endpoint.id not in self.lapsed:
                 self.remove(endpoint.name, now)
 
     def confirm(self, at: float) -> None:
-        """Note that the directory told all that it holds as of some time.
+        """Record that the known entries are complete as of some time.
 
-        After a time in which it told nothing to anybody, entries may be missing only
+        If the directory answered nobody for a while before, entries may be missing only
         because their endpoints could not write them.
+
+        Args:
+            at: Time in seconds.
         """
         if at - self.known_at > OUTAGE_AFTER and self.endpoints:
             self.returned_at = at
         self.known_at = max(self.known_at, at)
 
     def expire(self, now: float) -> list[str]:
-        """Drop the lapsed endpoints whose time is over; return their ids."""
+        """Drop the lapsed endpoints that are no longer kept; return their ids."""
         over = [name for name, until in self.lapsed.items() if until <= now]
         for endpoint_id in over:
             self._drop(endpoint_id)
         return over
 
     def of_service(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a service that take new work."""
+        """Return the endpoints of a service that accept new requests."""
         return [
             endpoint
             for endpoint in self.endpoints.values()
@@ -214,7 +229,7 @@
         ]
 
     def _drop_predecessors(self, endpoint: Endpoint) -> None:
-        """Drop earlier incarnations at the address of a new one."""
+        """Drop other endpoints at the address of a new one."""
         for known in list(self.endpoints.values()):
             if known.address == endpoint.address:
                 self._drop(known.id)
--- a/packages/core/src/lacewingcourse/core/pipelines/routing.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/routing.py
@@ -1,4 +1,4 @@
-"""Published configuration in force: routes, services, limits and keys."""
+"""The published configuration: routes, services, limits and keys."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RetrySafety(Enum):
-    """What may be run again of a route's requests."""
+    """Whether requests of a route may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -24,25 +24,25 @@
 
     @property
     def may_retry(self) -> bool:
-        """Whether a request may be run more than once."""
+        """Whether a request may be executed more than once."""
         return self in (RetrySafety.IDEMPOTENT, RetrySafety.RESUMABLE_STREAM)
 
 
 @attrs.frozen
 class Route:
-    """A route.
+    """Settings of the requests to one host and path prefix.
 
     Attributes:
         name: Its name.
-        host: Host that requests name, lower case.
-        prefix: Path prefix, with a slash at both ends.
-        retry_safety: What may be run again.
-        shares: Services with their weights.
-        timeout: Seconds for which a request may be kept waiting.
-        objective: Seconds within which an answer is wanted.
-        gap: Seconds that may pass between two events of a stream.
+        host: Host header that it matches, in lower case.
+        prefix: Path prefix that it matches, with a slash at both ends.
+        retry_safety: Whether requests may be executed more than once.
+        service_weights: Names of services with their weights.
+        timeout: Seconds from the arrival of a request to its deadline.
+        objective: Target time to an answer in seconds; to the first event of a stream.
+        max_event_gap: Maximum seconds between two events of a stream.
         priority: Rank, 0 for the most urgent.
-        most_attempts: Endpoints to which one request may be sent.
+        max_attempts: Maximum number of endpoints to which a request is sent.
         needs_key: Whether a request must carry an organisation's key.
     """
 
@@ -59,7 +59,7 @@
     needs_key: bool
 
     def service_for(self, request_id: str) -> str:
-        """Return the service of a request; the same id has always the same one."""
+        """Return the service of a request, chosen by weight from a hash of its id."""
         if len(self.service_weights) == 1:
             return self.service_weights[0][0]
         digest = blake2b(request_id.encode(), digest_size=8).digest()
@@ -74,11 +74,11 @@
 
 @attrs.frozen
 class Service:
-    """A service.
+    """A service that requests are routed to.
 
     Attributes:
         name: Its name.
-        shape: Figures of its engines, None for a plain service.
+        shape: Published performance figures of its engines, None for a plain service.
     """
 
     name: str
@@ -87,12 +87,12 @@
 
 @attrs.frozen
 class Limits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size of requests and on the time that callers may take.
 
     Attributes:
-        header_bytes: Longest head of a request.
-        body_bytes: Longest body.
-        header_timeout: Seconds in which a head must arrive.
+        header_bytes: Maximum size of a request's line and headers.
+        body_bytes: Maximum size of a request's body.
+        header_timeout: Seconds within which the line and headers must arrive.
         idle_timeout: Seconds for which a connection may stay idle.
     """
 
@@ -104,11 +104,11 @@
 
 @attrs.frozen
 class Organisation:
-    """Who a key belongs to.
+    """The organisation that a key belongs to.
 
     Attributes:
-        name: Its name.
-        priority: Rank of its requests, None for that of the route.
+        name: Its name, empty for requests without a known key.
+        priority: Rank of its requests, None for the route's priority.
     """
 
     name: str
@@ -120,12 +120,12 @@
     """One version of the published configuration.
 
     Attributes:
-        version: Its version.
+        version: Its version number.
         hosts: Routes by host and prefix.
         services: Services by name.
-        limits: What callers may send.
-        keys: Organisations by key; None if no keys are asked for.
-        document: The version as published, for entries that cannot read it.
+        limits: Limits on requests.
+        keys: Organisations by key, None if requests need no keys.
+        document: The document as published, for entries that cannot read the platform.
     """
 
     version: int
@@ -136,11 +136,11 @@
     document: bytes = b""
 
     def route(self, host: str, path: str) -> Route | Refusal:
-        """Return the route of a request, or why there is none.
+        """Return the route with the longest matching prefix, or why there is none.
 
         Args:
-            host: Host that the request names.
-            path: Its path without a query.
+            host: Host header of the request, with or without a port.
+            path: Its path without the query.
         """
         prefixes = self.hosts.get(host.partition(":")[0].lower())
         if prefixes is None:
@@ -154,7 +154,7 @@
         return Refusal(ErrorKind.UNKNOWN_RESOURCE, "no route for the path")
 
     def organisation(self, route: Route, key: str | None) -> Organisation | Refusal:
-        """Return the organisation of a request, or why it is refused.
+        """Return the organisation of a request, or why the request is refused.
 
         Args:
             route: Its route.
@@ -171,5 +171,5 @@
 
 
 def is_newer(table: RoutingTable, known: RoutingTable | None) -> bool:
-    """Tell whether a version may take the place of the one in force."""
+    """Return whether a version may replace the current one."""
     return known is None or table.version > known.version
--- a/packages/core/tests/pipelines/test_fleet.py
+++ b/packages/core/tests/pipelines/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of which endpoints there are believed to be."""
+"""Tests of the known endpoints."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def fleet_after_outage() -> Fleet:
-    """Return a fleet whose directory was away for ten seconds until 20."""
+    """Return a fleet after an outage of the directory from second 10 to second 20."""
     fleet = Fleet()
     fleet.put(A)
     fleet.confirm(10.0)
@@ -60,7 +60,10 @@
 
 
 def test_a_removed_entry_is_dropped_at_once_while_listings_are_confirmed():
-    """An entry that is turned away itself hears of the end of an endpoint."""
+    """Covers an entry without access to the directory that learns of it from peers.
+
+    Their listings confirm the fleet, so the removal does not count as an outage.
+    """
     fleet = Fleet()
     fleet.put(A)
     for at in range(10):
--- a/packages/core/tests/pipelines/test_routing.py
+++ b/packages/core/tests/pipelines/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routes, keys and versions."""
+"""Tests of routes, organisations' keys and configuration versions."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def table() -> RoutingTable:
-    """A version with two routes and one key."""
+    """A configuration with two routes and one key."""
     return RoutingTable(
         version=7,
         hosts={"maps.example": {LONG.prefix: LONG, SHORT.prefix: SHORT}},
