--- a/packages/core/src/lacewingcourse/core/pipelines/durations.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/durations.py
@@ -1,4 +1,4 @@
-"""How long answers take, as this entry has seen it lately."""
+"""Durations of this entry's recent answers, by route and service."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 import attrs
 
-#: Answers that are remembered: enough for a quantile, few enough to follow a load that
-#: changes within seconds.
+#: Number of recent samples that are kept: enough for a quantile, few enough to follow a
+#: load that changes within seconds.
 MAX_SAMPLES = 64
-#: Answers before which there is no estimate.
+#: Minimum number of samples for an estimate.
 MIN_SAMPLES = 8
-#: Share of the remembered answers that took no longer than is expected of the next.
+#: Quantile of the samples that is the expected duration, exceeded by few answers.
 UPPER_QUANTILE = 0.95
-#: Share of them that took no longer than a usual one.
+#: Quantile of the samples that is the typical duration.
 MEDIAN = 0.5
 
 
 @attrs.define
 class Durations:
-    """The time that answers took.
+    """Samples of the durations of complete answers.
 
     Attributes:
-        answers: Seconds of the last whole answers by route.
-        first_events: Seconds to the first event of the last streams by service.
-        event_intervals: Mean seconds between two events of the last streams by service.
+        answers: Seconds of recent answers by route.
+        first_events: Seconds to the first event of recent streams by service.
+        event_intervals: Mean seconds between the events of recent streams by service.
     """
 
     answers: dict[str, deque[float]] = attrs.field(factory=dict)
@@ -32,37 +32,37 @@
     event_intervals: dict[str, deque[float]] = attrs.field(factory=dict)
 
     def record_answer(self, route: str, seconds: float) -> None:
-        """Take how long a whole answer took."""
+        """Record the duration of a complete answer in seconds."""
         _add(self.answers, route, seconds)
 
     def record_stream(self, service: str, first_event: float, interval: float) -> None:
-        """Take how a whole stream went.
+        """Record the times of a complete stream.
 
         Args:
-            service: Service that wrote it.
+            service: Service that produced it.
             first_event: Seconds to its first event.
-            interval: Mean seconds between two of its events.
+            interval: Mean seconds between its events.
         """
         _add(self.first_events, service, first_event)
         _add(self.event_intervals, service, interval)
 
     def expected(self, route: str) -> float | None:
-        """Return the seconds that nearly all answers take, None if few were seen."""
+        """Return the seconds within which nearly all answers end, None if unknown."""
         return _quantile(self.answers, route)
 
     def median(self, route: str) -> float | None:
-        """Return the seconds that a usual answer takes, None if few were seen."""
+        """Return the median seconds of an answer, None if there are few samples."""
         return _quantile(self.answers, route, MEDIAN)
 
     def remaining_stream_seconds(
         self, service: str, max_events: int, has_begun: bool
     ) -> float | None:
-        """Return the seconds that a stream takes yet, None if few were seen.
+        """Return the expected seconds until a stream ends, None if few samples exist.
 
         Args:
-            service: Service that writes it.
-            max_events: Events that it may still have.
-            has_begun: Whether its first event has come.
+            service: Service that produces it.
+            max_events: Maximum number of events that are still to come.
+            has_begun: Whether its first event has arrived.
         """
         first_event = _quantile(self.first_events, service)
         interval = _quantile(self.event_intervals, service)
@@ -79,7 +79,7 @@
 def _quantile(
     samples: dict[str, deque[float]], name: str, share: float = UPPER_QUANTILE
 ) -> float | None:
-    """Return a quantile of the samples of a name, None if there are few."""
+    """Return a quantile of a name's samples, None if there are too few."""
     found = sorted(samples.get(name, ()))
     if len(found) < MIN_SAMPLES:
         return None
--- a/packages/core/src/lacewingcourse/core/pipelines/load.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/load.py
@@ -1,4 +1,4 @@
-"""What runs on each endpoint: requests and the memory that they take."""
+"""Load of each endpoint: requests that run there and the memory that they take."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 
     from lacewingcourse.core.pipelines.path import Path
 
-#: Seconds for which the loads that a peer told are believed.
+#: Seconds for which the loads that a peer reported are used.
 PEER_LOADS_TTL = 1.5
 
 
 @attrs.define
 class Load:
-    """What runs on one endpoint.
+    """The load of one endpoint.
 
     Attributes:
-        requests: Requests on paths through it.
-        leading: Requests of which it is the first part.
-        cells: Tokens times layers that they are expected to take.
+        requests: Number of requests on paths through it.
+        first_part_requests: Number of requests on paths that start with it.
+        token_layers: Memory that the requests are expected to take, in tokens times
+            layers.
     """
 
     requests: int = 0
@@ -30,35 +31,35 @@
     token_layers: float = 0.0
 
     def add(self, other: Load, sign: int = 1) -> None:
-        """Add another load to this one, or take it away."""
+        """Add another load to this one, or subtract it if the sign is -1."""
         self.requests += sign * other.requests
         self.first_part_requests += sign * other.first_part_requests
         self.token_layers += sign * other.token_layers
 
     @property
     def idle(self) -> bool:
-        """Whether nothing runs."""
+        """Whether no requests run."""
         return not (self.requests or self.first_part_requests or self.token_layers)
 
 
-#: The load of an endpoint on which nothing runs; never changed.
+#: The load of an idle endpoint; shared, so it must not be modified.
 NO_LOAD = Load()
 
 
 @attrs.define
 class LoadTable:
-    """The load that this entry put on each endpoint, and what its peers told.
+    """Loads that this entry and its peers put on each endpoint.
 
-    Entries are the only callers, so the sum over them is the load, but for the time
-    that the peers' figures take to arrive.
+    Only entries send requests to endpoints, so the sum over all entries is the load of
+    an endpoint, apart from the delay of the peers' reports.
 
-    The sum of each endpoint is kept up to date at each change, since a choice looks at
-    a hundred of them.
+    The sums are updated at each change, since the choice of one path reads the loads of
+    about a hundred endpoints.
 
     Attributes:
-        own: This entry's load by endpoint.
-        peers: Loads by endpoint of each peer, with the time at which they arrived.
-        sums: Sum of all by endpoint.
+        own: This entry's loads by endpoint.
+        peers: Time of arrival and loads by endpoint of each peer's last report.
+        sums: Sums of all loads by endpoint.
     """
 
     own: dict[str, Load] = attrs.field(factory=dict)
@@ -66,42 +67,50 @@
     sums: dict[str, Load] = attrs.field(factory=dict)
 
     def begin(self, path: Path, tokens: int) -> None:
-        """Note a request on a path."""
+        """Add a request on a path.
+
+        Args:
+            path: The path.
+            tokens: Tokens that the request is expected to hold.
+        """
         self._apply_request(path, tokens, 1)
 
     def end(self, path: Path, tokens: int) -> None:
-        """Note the end of a request that had begun with the same arguments."""
+        """Remove a request that was added with the same arguments."""
         self._apply_request(path, tokens, -1)
 
     def begin_call(self, endpoint: str) -> None:
-        """Note a call of a plain service."""
+        """Add a call of a plain service."""
         self._add_own(endpoint, Load(1, 1), 1)
 
     def end_call(self, endpoint: str) -> None:
-        """Note the end of a call of a plain service."""
+        """Remove a call of a plain service."""
         self._add_own(endpoint, Load(1, 1), -1)
 
     def from_peer(self, peer: str, loads: dict[str, Load], now: float) -> None:
-        """Take the loads that a peer told."""
+        """Replace the loads of a peer by those that it reported."""
         self.forget(peer)
         self.peers[peer] = (now, loads)
         for endpoint, load in loads.items():
             _add_to(self.sums, endpoint, load, 1)
 
     def forget(self, peer: str) -> None:
-        """Forget the loads that were kept under a name."""
+        """Remove the loads of a peer, by the name under which they are stored."""
         _, loads = self.peers.pop(peer, (0.0, {}))
         for endpoint, load in loads.items():
             _add_to(self.sums, endpoint, load, -1)
 
     def total(self, included: Callable[[str], bool]) -> dict[str, Load]:
-        """Return this entry's loads with those of some peers added.
+        """Return the sum of this entry's loads and those of some peers, by endpoint.
 
-        The fewer of two are gone through: what counts, or what does not. A hub tells
-        each entry of its zone the loads of all but that one, several times a second.
+        The smaller of the two sets of peers is processed: the included ones are added
+        to this entry's loads, or the excluded ones are subtracted from the sums. A hub
+        sends each entry of its zone the loads of all other entries, several times per
+        second.
 
         Args:
-            included: Tells of a name under which loads are kept whether they count.
+            included: Returns whether the loads of a peer count, given the name under
+                which they are stored.
         """
         excluded = [peer for peer in self.peers if not included(peer)]
         if 2 * len(excluded) > len(self.peers):
@@ -112,7 +121,7 @@
         return _sum_loads(self.sums, [self.peers[peer][1] for peer in excluded], -1)
 
     def expire(self, now: float) -> list[str]:
-        """Forget peers that have been silent for too long; return their names."""
+        """Remove peers whose last report is too old; return their names."""
         silent = [
             peer
             for peer, (received_at, _) in self.peers.items()
@@ -123,7 +132,7 @@
         return silent
 
     def get(self, endpoint: str) -> Load:
-        """Return the load of an endpoint over all entries."""
+        """Return the load of an endpoint over all entries; do not modify it."""
         return self.sums.get(endpoint, NO_LOAD)
 
     def _apply_request(self, path: Path, tokens: int, sign: int) -> None:
@@ -139,7 +148,7 @@
 def _sum_loads(
     first: dict[str, Load], others: list[dict[str, Load]], sign: int
 ) -> dict[str, Load]:
-    """Return loads with some others added, or taken away; without idle endpoints."""
+    """Return loads with others added, or subtracted; without idle endpoints."""
     found = dict(first)
     changed = {endpoint for loads in others for endpoint in loads}
     for endpoint in changed:
@@ -154,7 +163,7 @@
 
 
 def _add_to(loads: dict[str, Load], endpoint: str, load: Load, sign: int) -> None:
-    """Add a load to the one of an endpoint, or take it away."""
+    """Add a load to that of an endpoint, or subtract it; drop an idle endpoint."""
     known = loads.get(endpoint)
     if known is None:
         known = loads[endpoint] = Load()
--- a/packages/core/src/lacewingcourse/core/pipelines/speed.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/speed.py
@@ -1,28 +1,29 @@
-"""Endpoints that run slower than published, as they say themselves."""
+"""Slowdown estimates of endpoints that report to run slower than published."""
 
 from __future__ import annotations
 
 import attrs
 
-#: Seconds for which what an endpoint told is believed. Endpoints are asked again
-#: whenever streams through them pause.
+#: Seconds for which a reported slowdown is used. A new report is requested from an
+#: endpoint whenever a stream through it pauses.
 ESTIMATE_TTL = 3.0
-#: Seconds before that is over at which one with streams through it is asked again.
+#: Seconds before the expiry of an estimate from which a new report is requested from an
+#: endpoint that has streams.
 REFRESH_MARGIN = 1.5
-#: Slowdown up to which an endpoint counts as one that runs as published; the share of
-#: requests that write beside one another makes steps differ by as much.
+#: Slowdown up to which an endpoint counts as running as published. The number of
+#: requests that decode in the same step varies step times by as much.
 NORMAL_SLOWDOWN = 1.2
-#: Greatest slowdown that is believed.
+#: Upper limit that reported slowdowns are clamped to.
 MAX_SLOWDOWN = 100.0
 
 
 @attrs.frozen
 class SlowdownEstimate:
-    """How much slower than published an endpoint runs.
+    """Estimate of how much slower than published an endpoint runs.
 
     Attributes:
-        factor: Times that its steps take as long.
-        until: Time until which that is believed, seconds.
+        factor: Ratio of its step times to the published ones.
+        until: Time of expiry in seconds.
     """
 
     factor: float
@@ -31,16 +32,16 @@
 
 @attrs.define
 class SpeedEstimator:
-    """The endpoints that run slower than published.
+    """Slowdown estimates of the endpoints that run slower than published.
 
     Attributes:
-        members: Estimates by id of the endpoint.
+        estimates: Estimates by id of the endpoint.
     """
 
     estimates: dict[str, SlowdownEstimate] = attrs.field(factory=dict)
 
     def update(self, endpoint: str, factor: float, now: float) -> None:
-        """Take an endpoint's own word."""
+        """Apply a slowdown that an endpoint itself reported."""
         if factor <= NORMAL_SLOWDOWN:
             self.estimates.pop(endpoint, None)
             return
@@ -51,7 +52,14 @@
     def from_peer(
         self, endpoint: str, factor: float, remaining: float, now: float
     ) -> None:
-        """Take what another entry was told, unless this one knows it for longer."""
+        """Apply the estimate of another entry unless the known one expires later.
+
+        Args:
+            endpoint: Id of the endpoint.
+            factor: Slowdown that the endpoint reported to the other entry.
+            remaining: Seconds until the estimate expires there.
+            now: Current time in seconds.
+        """
         until = now + min(remaining, ESTIMATE_TTL)
         known = self.estimates.get(endpoint)
         if factor > NORMAL_SLOWDOWN and (known is None or known.until < until):
@@ -60,19 +68,19 @@
             )
 
     def slowdown(self, endpoint: str, now: float) -> float:
-        """Return how many times as long an endpoint's steps take, 1 as published."""
+        """Return an endpoint's slowdown factor, 1 if it runs as published."""
         found = self.estimates.get(endpoint)
         return found.factor if found is not None and found.until > now else 1.0
 
     def expiring(self, now: float) -> set[str]:
-        """Return the endpoints that should be asked again."""
+        """Return the endpoints whose estimates are about to expire."""
         soon = now + REFRESH_MARGIN
         return {
             name for name, estimate in self.estimates.items() if estimate.until < soon
         }
 
     def remaining(self, now: float) -> dict[str, tuple[float, float]]:
-        """Return slowdown and the seconds for which it is believed, by endpoint."""
+        """Return the slowdown and the seconds until its expiry, by endpoint."""
         return {
             endpoint: (estimate.factor, round(estimate.until - now, 3))
             for endpoint, estimate in self.estimates.items()
@@ -80,7 +88,7 @@
         }
 
     def expire(self, now: float) -> None:
-        """Forget what is believed no longer."""
+        """Remove expired estimates."""
         for endpoint, estimate in list(self.estimates.items()):
             if estimate.until <= now:
                 del self.estimates[endpoint]
--- a/packages/core/tests/pipelines/test_speed.py
+++ b/packages/core/tests/pipelines/test_speed.py
@@ -1,4 +1,4 @@
-"""Tests of endpoints that run slower than published."""
+"""Tests of the slowdown estimates of endpoints."""
 
 from __future__ import annotations
 
@@ -61,7 +61,10 @@
 
 
 def test_requests_avoid_an_endpoint_that_reports_itself_slow():
-    """Two alike copies; half of the requests went through the slow one before."""
+    """Guards against ignoring reported slowdowns when paths are chosen.
+
+    Half of the requests then went through the slow one of two equal copies.
+    """
     shape = make_shape()
     endpoints = [
         holding(make_endpoint(f"{zone}{index}", "large", zone), start, start + 40)
