--- a/packages/core/src/lacewingcourse/core/pipelines/__init__.py
+++ b/packages/core/src/lacewingcourse/core/pipelines/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions over endpoints that hold ranges of a model's layers."""
+"""Placement and routing for endpoints that each hold a range of a model's layers."""
--- a/packages/core/tests/pipelines/conftest.py
+++ b/packages/core/tests/pipelines/conftest.py
@@ -1,4 +1,4 @@
-"""Fleets and shapes that the tests of pipelines share."""
+"""Shared fleets and performance figures of the pipeline tests."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def make_shape(layers: int = 80, **changes) -> EngineShape:
-    """Return the figures of a model of 140 GB."""
+    """Return the performance figures of a model of 140 GB."""
     shape = EngineShape(
         model="rooms",
         layers=layers,
@@ -93,24 +93,24 @@
 
 
 def placed(endpoints: list[Endpoint], shape: EngineShape) -> list[Endpoint]:
-    """Return endpoints as they are once a layout is in place."""
+    """Return endpoints with the layers of a planned layout."""
     plan = {a.endpoint: a.layers for a in plan_layout(endpoints, shape)}
     return [attrs.evolve(e, layers=plan.get(e.id, e.layers)) for e in endpoints]
 
 
 @pytest.fixture
 def shape() -> EngineShape:
-    """Figures of a model that no single endpoint holds."""
+    """Performance figures of a model that does not fit on a single endpoint."""
     return make_shape()
 
 
 @pytest.fixture
 def fleet(shape) -> list[Endpoint]:
-    """A fleet on which a layout is in place."""
+    """A fleet with a planned layout in place."""
     return placed(make_fleet(), shape)
 
 
 @pytest.fixture
 def rng() -> random.Random:
-    """A source of draws that is the same in each run."""
+    """A random generator with a fixed seed."""
     return random.Random(7)
