--- a/packages/core/tests/pipelines/test_capacity.py
+++ b/packages/core/tests/pipelines/test_capacity.py
@@ -11,8 +11,8 @@
     """Return the endpoints with ranges of ten layers, one after another."""
     held, position = [], 0
     for endpoint in endpoints:
-        most = shape.max_layers(KINDS[endpoint.accelerator])
-        span = min(10, most, shape.layers - position)
+        max_layers = shape.max_layers(KINDS[endpoint.accelerator])
+        span = min(10, max_layers, shape.layers - position)
         held.append(holding(endpoint, position, position + span))
         position = (position + span) % shape.layers
     return held
@@ -34,8 +34,8 @@
     members = sorted(make_fleet(), key=lambda e: KINDS[e.accelerator].step_factor)
     held, position = [], 0
     for endpoint in members:
-        most = shape.max_layers(KINDS[endpoint.accelerator])
-        span = min(most, shape.layers - position)
+        max_layers = shape.max_layers(KINDS[endpoint.accelerator])
+        span = min(max_layers, shape.layers - position)
         held.append(holding(endpoint, position, position + span))
         position = (position + span) % shape.layers
     planned = fleet_capacity(placed(members, shape), shape, rng)
--- a/packages/core/tests/pipelines/test_choice.py
+++ b/packages/core/tests/pipelines/test_choice.py
@@ -47,8 +47,11 @@
     assert refusal.kind is ErrorKind.OVERLOADED
     for endpoint in fleet:
         kind = shape.accelerators[endpoint.accelerator]
-        room = shape.kv_capacity(kind, len(endpoint.layers))
-        assert chooser.loads.get(endpoint.id).token_layers <= room * MAX_MEMORY_SHARE
+        kv_capacity = shape.kv_capacity(kind, len(endpoint.layers))
+        assert (
+            chooser.loads.get(endpoint.id).token_layers
+            <= kv_capacity * MAX_MEMORY_SHARE
+        )
     assert len(taken) > 100
 
 
@@ -190,8 +193,8 @@
     loads.begin(path, 900)
     loads.from_peer("b", {first: Load(2, 1, 50.0)}, now=0.0)
     loads.from_peer("b", {first: Load(3, 1, 70.0)}, now=1.0)
-    cells = 900 * len(path.first.layers)
-    assert loads.get(first) == Load(4, 2, cells + 70.0)
+    token_layers = 900 * len(path.first.layers)
+    assert loads.get(first) == Load(4, 2, token_layers + 70.0)
     loads.end(path, 900)
     assert loads.get(first) == Load(3, 1, 70.0)
     loads.expire(now=10.0)
@@ -207,8 +210,8 @@
     for number in range(4):
         loads.from_peer(str(number), {first: Load(number, 0, 10.0)}, now=0.0)
     found = loads.total(lambda peer: int(peer) < count)
-    cells = 900 * len(paths[0].first.layers)
-    assert found[first] == Load(1 + sum(range(count)), 1, cells + 10.0 * count)
+    token_layers = 900 * len(paths[0].first.layers)
+    assert found[first] == Load(1 + sum(range(count)), 1, token_layers + 10.0 * count)
     assert set(found) == {part.endpoint for part in paths[0].parts}
 
 
--- a/packages/core/tests/pipelines/test_copies.py
+++ b/packages/core/tests/pipelines/test_copies.py
@@ -103,8 +103,8 @@
     fleet = group(SCARCE, "east")
     kinds = {e.id: SMALL.accelerators[e.accelerator] for e in fleet}
     for assignment in plan_layout(fleet, SMALL):
-        most = SMALL.max_layers(kinds[assignment.endpoint])
-        assert 0 < len(assignment.layers) <= most
+        max_layers = SMALL.max_layers(kinds[assignment.endpoint])
+        assert 0 < len(assignment.layers) <= max_layers
 
 
 def test_endpoints_that_hold_nothing_together_have_no_sole_holder():
--- a/packages/core/tests/pipelines/test_fleet.py
+++ b/packages/core/tests/pipelines/test_fleet.py
@@ -78,7 +78,7 @@
     assert fleet.expire(now=20.0 + REREGISTRATION_GRACE) == ["a"]
 
 
-def test_a_new_incarnation_takes_the_place_of_the_old_one():
+def test_a_new_endpoint_replaces_the_old_one_at_its_address():
     fleet = Fleet()
     fleet.put(holding(A, 0, 10))
     fleet.put(attrs.evolve(A, id="a2", name="a2"))
--- a/packages/core/tests/pipelines/test_layout.py
+++ b/packages/core/tests/pipelines/test_layout.py
@@ -30,8 +30,8 @@
 
 
 def test_every_layer_has_memory_for_the_minimum_of_requests(fleet, shape):
-    least = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
-    assert min(token_capacity(fleet, shape)) >= 3 * least
+    min_tokens = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
+    assert min(token_capacity(fleet, shape)) >= 3 * min_tokens
 
 
 def test_members_of_a_copy_share_its_memory_evenly(shape):
@@ -69,8 +69,8 @@
     members = [make_endpoint(f"{z}{i}", "large", z) for z in "xy" for i in range(2)]
     for zone in "xy":
         alone = [e for e in members if e.zone == zone]
-        least = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
-        assert sum(layers_that_fit(e, shape, least) for e in alone) < shape.layers
+        min_tokens = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
+        assert sum(layers_that_fit(e, shape, min_tokens) for e in alone) < shape.layers
     assert min(token_capacity(placed(members, shape), shape)) > 0
 
 
@@ -91,11 +91,11 @@
 
 def best_token_ms(members, shape):
     """Return the minimum milliseconds per token over all ways to split the layers."""
-    least = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
+    min_tokens = MIN_REQUESTS_PER_COPY * shape.mean_request_tokens
     best = float("inf")
     for chosen in itertools.permutations(members):
         for spans in splits(
-            [layers_that_fit(e, shape, least) for e in chosen], shape.layers
+            [layers_that_fit(e, shape, min_tokens) for e in chosen], shape.layers
         ):
             position, held = 0, []
             for endpoint, span in zip(chosen, spans, strict=False):
@@ -107,14 +107,14 @@
     return best
 
 
-def splits(most, layers):
+def splits(max_spans, layers):
     """Yield every way to split some layers, with a maximum for each endpoint."""
-    if not most:
+    if not max_spans:
         if layers == 0:
             yield ()
         return
-    for span in range(min(most[0], layers) + 1):
-        for rest in splits(most[1:], layers - span):
+    for span in range(min(max_spans[0], layers) + 1):
+        for rest in splits(max_spans[1:], layers - span):
             yield (span, *rest)
 
 
--- a/packages/core/tests/pipelines/test_routing.py
+++ b/packages/core/tests/pipelines/test_routing.py
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("key", [None, "wrong"])
-def test_an_unknown_key_is_refused_where_one_is_needed(table, key):
+def test_an_unknown_key_is_refused_if_the_route_needs_one(table, key):
     assert table.organisation(LONG, key).kind is ErrorKind.UNAUTHENTICATED
     assert not isinstance(table.organisation(SHORT, key), Refusal)
 
@@ -79,7 +79,7 @@
     assert not is_newer(attrs.evolve(table, version=6), table)
 
 
-def test_shares_follow_the_weights_and_the_same_request_has_the_same_service():
+def test_services_are_chosen_by_weight_and_stay_the_same_for_a_request():
     split = attrs.evolve(LONG, service_weights=(("a", 90.0), ("b", 10.0)))
     chosen = [split.service_for(f"request-{i}") for i in range(2000)]
     assert 120 < chosen.count("b") < 280
