--- a/packages/bench/src/lacewingcourse/bench/pipeline_play.py
+++ b/packages/bench/src/lacewingcourse/bench/pipeline_play.py
@@ -17,11 +17,11 @@
 
 from lacewingcourse.core.errors import Refusal
 from lacewingcourse.core.pipelines.admission_queue import WAIT_POLICIES, retry_after
-from lacewingcourse.core.pipelines.capacity import InTurn, fleet_bound
+from lacewingcourse.core.pipelines.capacity import RoundRobin, fleet_capacity
 from lacewingcourse.core.pipelines.choice import Demand, PathChooser
 from lacewingcourse.core.pipelines.layout import plan_layout
 from lacewingcourse.core.pipelines.links import LinkUsage
-from lacewingcourse.core.pipelines.load import LoadBook
+from lacewingcourse.core.pipelines.load import LoadTable
 from lacewingcourse.core.pipelines.path import LOCAL_HOP_MS, Path, candidate_paths
 from lacewingcourse.core.registry import Registry
 
@@ -67,7 +67,7 @@
     """Choose the path whose fullest part runs the fewest requests."""
 
     def most(path):
-        return max(chooser.loads.of(part.endpoint).requests for part in path.parts)
+        return max(chooser.loads.get(part.endpoint).requests for part in path.parts)
 
     return min(paths, key=lambda path: (most(path), rng.random()))
 
@@ -187,7 +187,7 @@
         self.seconds = seconds
         self.last = seconds + PATIENCE
         self.rng = random.Random(seed)
-        self.loads = LoadBook()
+        self.loads = LoadTable()
         self.links = LinkUsage()
         self.streams: list[Stream] = []
         self.running: list[Stream] = []
@@ -200,7 +200,9 @@
         self.paths: list[Path] = []
         self._place(list(plan.endpoints))
         placed = list(self.endpoints.values())
-        self.full_token_ms = fleet_bound(placed, self.shape, InTurn()).full_token_ms
+        self.full_token_ms = fleet_capacity(
+            placed, self.shape, RoundRobin()
+        ).full_token_ms
 
     def run(self) -> Result:
         """Play until all has ended or callers have left; return what callers got."""
@@ -302,18 +304,18 @@
     def _start(self, stream: Stream, path: Path, now: float) -> None:
         """Begin to read a prompt, behind those that are being read on the path."""
         stream.path = path
-        tokens = stream.demand.prompt + int(stream.written)
+        tokens = stream.demand.prompt_tokens + int(stream.written)
         ready = now
         for part in path.parts:
             kind = self._kind(part.endpoint)
             busy = self.reading_until.get(part.endpoint, 0.0)
-            took = self.shape.read_time(kind, len(part.layers), tokens) / 1000
+            took = self.shape.prefill_ms(kind, len(part.layers), tokens) / 1000
             ready = max(ready, busy) + took
             self.reading_until[part.endpoint] = ready
         for pair in path.crossings:
             seconds = self.shape.transfer_seconds(tokens)
-            ready += seconds / max(0.05, 1.0 - self.links.use(pair, now))
-            self.links.add(pair, seconds, now)
+            ready += seconds / max(0.05, 1.0 - self.links.utilisation(pair, now))
+            self.links.record_transfer(pair, seconds, now)
         stream.ready_at = ready
         self.loads.begin(path, stream.demand.tokens)
         self.running.append(stream)
@@ -351,13 +353,13 @@
         """Stop the newest requests of parts whose memory has overflowed."""
         used: dict[str, float] = {}
         for stream in self.running:
-            tokens = stream.demand.prompt + stream.written
+            tokens = stream.demand.prompt_tokens + stream.written
             for part in stream.path.parts:
                 cells = tokens * len(part.layers)
                 used[part.endpoint] = used.get(part.endpoint, 0.0) + cells
         for name, cells in used.items():
             endpoint = self.endpoints[name]
-            room = self.shape.room(self._kind(name), len(endpoint.layers))
+            room = self.shape.kv_capacity(self._kind(name), len(endpoint.layers))
             if cells > room:
                 self._stop_newest(name, cells - room, now)
 
@@ -366,7 +368,7 @@
         for stream in list(reversed(self.running)):
             if excess <= 0:
                 return
-            tokens = stream.demand.prompt + stream.written
+            tokens = stream.demand.prompt_tokens + stream.written
             held = [p for p in stream.path.parts if p.endpoint == name]
             if held:
                 excess -= tokens * len(held[0].layers)
@@ -393,9 +395,9 @@
     def _token_seconds(self, path: Path) -> float:
         total = 0.0
         for part in path.parts:
-            running = self.loads.of(part.endpoint).requests
+            running = self.loads.get(part.endpoint).requests
             kind = self._kind(part.endpoint)
-            total += self.shape.step_time(kind, len(part.layers), running)
+            total += self.shape.decode_step_ms(kind, len(part.layers), running)
             total += LOCAL_HOP_MS
         return total / 1000
 
@@ -405,7 +407,7 @@
     def _result(self) -> Result:
         asked = self.streams
         good = [s for s in asked if s.ended and not s.late]
-        by_size = sorted(asked, key=lambda s: s.demand.prompt + 10 * s.answer)
+        by_size = sorted(asked, key=lambda s: s.demand.prompt_tokens + 10 * s.answer)
         largest = by_size[-max(1, len(asked) // 10) :]
         shares = []
         for organisation in range(self.plan.organisations):
--- a/packages/core/tests/pipelines/test_copies.py
+++ b/packages/core/tests/pipelines/test_copies.py
@@ -1,4 +1,4 @@
-"""Tests of how many copies of a model are made, and with how much memory."""
+"""Tests of the number and memory of model copies."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 import attrs
 
-from lacewingcourse.core.pipelines.capacity import fleet_bound
+from lacewingcourse.core.pipelines.capacity import fleet_capacity
 from lacewingcourse.core.pipelines.copies import copy_plans
-from lacewingcourse.core.pipelines.layout import plan_layout, rate_of, sole_holders
+from lacewingcourse.core.pipelines.layout import plan_layout, request_rate, sole_holders
 from lacewingcourse.core.pipelines.shape import Accelerator
 
 from .conftest import make_endpoint, make_shape, placed
@@ -19,7 +19,7 @@
     "plain": Accelerator("plain", 21_600, 16.0, 8.2),
     "tight": Accelerator("tight", 14_400, 15.0, 15.0),
 }
-#: A group in which copies with much memory leave most layers to one holder each.
+#: A group in which copies with much memory leave most layers with a single holder.
 SCARCE = {"quick": 1, "plain": 7, "tight": 5}
 #: Groups of one larger deployment, by zone.
 AMPLE = [
@@ -28,8 +28,7 @@
     {"quick": 1, "plain": 8, "tight": 13},
 ]
 
-
-#: Figures of the engines of a small and of a large deployment.
+#: Performance figures that the engines of the small and the large deployment share.
 FIGURES = {
     "step_ms": 0.85,
     "pipe_mbps": 2_000.0,
@@ -72,29 +71,31 @@
         assert len({a.endpoint for a in plan}) == len(plan)
 
 
-def test_memory_is_not_bought_with_layers_that_one_endpoint_alone_holds():
-    """The plan with the most memory serves 20.5 a second, but 11 losses of 13 stop it.
+def test_the_layout_prefers_fewer_sole_holders_over_the_highest_rate():
+    """Guards against choosing the layout with the highest rate regardless of losses.
 
-    The one that is taken serves 18.4, and 7 losses stop it.
+    That layout serves 20.5 requests per second, but the loss of any of 11 of the 13
+    endpoints stops it. The chosen one serves 18.4, and only 7 losses stop it.
     """
     found = placed(group(SCARCE, "east"), SMALL)
     assert len(sole_holders(found, SMALL)) <= 7
-    assert rate_of(found, SMALL) >= 18.0
+    assert request_rate(found, SMALL) >= 18.0
 
 
 def test_a_large_fleet_serves_its_load_after_any_single_loss():
-    """At 69.9 requests a second the fleet served 70.6 after its worst loss before.
+    """Guards against too low a limit on the memory of copies.
 
-    With all endpoints it served 89.4; copies had memory for 48 requests at the most.
-    Now it serves 109.8, and 97.2 after the worst single loss.
+    With memory for at most 48 requests per copy, the fleet served 89.4 requests per
+    second, and 70.6 after the worst single loss, at a load of 69.9. With the present
+    limits it serves 109.8, and 97.2 after the worst single loss.
     """
     fleet = [e for i, kinds in enumerate(AMPLE) for e in group(kinds, f"zone{i}")]
     found = placed(fleet, LARGE)
-    bound = fleet_bound(found, LARGE, random.Random(0))
-    assert bound.requests_per_second >= 105.0
+    capacity = fleet_capacity(found, LARGE, random.Random(0))
+    assert capacity.requests_per_second >= 105.0
     for index in range(0, len(found), 4):
         left = [e for e in found if e is not found[index]]
-        after = fleet_bound(left, LARGE, random.Random(0))
+        after = fleet_capacity(left, LARGE, random.Random(0))
         assert after.requests_per_second >= 90.0
 
 
@@ -102,8 +103,8 @@
     fleet = group(SCARCE, "east")
     kinds = {e.id: SMALL.accelerators[e.accelerator] for e in fleet}
     for assignment in plan_layout(fleet, SMALL):
-        most = SMALL.most_layers(kinds[assignment.endpoint])
-        assert 0 < len(assignment.layers) <= most
+        max_layers = SMALL.max_layers(kinds[assignment.endpoint])
+        assert 0 < len(assignment.layers) <= max_layers
 
 
 def test_endpoints_that_hold_nothing_together_have_no_sole_holder():
--- a/packages/core/tests/pipelines/test_fleet.py
+++ b/packages/core/tests/pipelines/test_fleet.py
@@ -1,11 +1,11 @@
-"""Tests of which endpoints there are believed to be."""
+"""Tests of the known endpoints."""
 
 from __future__ import annotations
 
 import attrs
 import pytest
 
-from lacewingcourse.core.pipelines.fleet import RETURN_GRACE, EntryEffect, Fleet
+from lacewingcourse.core.pipelines.fleet import REREGISTRATION_GRACE, EntryEffect, Fleet
 from lacewingcourse.core.pipelines.shape import Layers
 
 from .conftest import holding, make_endpoint, make_shape
@@ -13,7 +13,7 @@
 A = make_endpoint("a", "large")
 
 
-def test_an_entry_that_tells_nothing_new_changes_nothing():
+def test_an_unchanged_entry_keeps_the_revision():
     fleet = Fleet()
     assert fleet.put(A) is EntryEffect.CHANGED
     revision = fleet.revision
@@ -28,14 +28,14 @@
     assert fleet.of_service("rooms") == []
 
 
-def test_a_leaving_endpoint_takes_no_new_work():
+def test_a_leaving_endpoint_gets_no_new_requests():
     fleet = Fleet()
     fleet.put(attrs.evolve(A, leaving=True))
     assert fleet.of_service("rooms") == []
 
 
 def fleet_after_outage() -> Fleet:
-    """Return a fleet whose directory was away for ten seconds until 20."""
+    """Return a fleet after an outage of the directory from second 10 to second 20."""
     fleet = Fleet()
     fleet.put(A)
     fleet.confirm(10.0)
@@ -43,12 +43,12 @@
     return fleet
 
 
-def test_entries_that_lapse_around_an_outage_are_kept_for_a_while():
+def test_endpoints_that_lapse_after_an_outage_are_kept_for_the_grace_period():
     fleet = fleet_after_outage()
     assert not fleet.remove("a", now=20.1)
     assert fleet.of_service("rooms") == [A]
     assert fleet.expire(now=20.1) == []
-    assert fleet.expire(now=20.0 + RETURN_GRACE) == ["a"]
+    assert fleet.expire(now=20.0 + REREGISTRATION_GRACE) == ["a"]
 
 
 def test_an_entry_that_comes_back_after_an_outage_stays():
@@ -59,8 +59,11 @@
     assert fleet.of_service("rooms") == [A]
 
 
-def test_an_entry_removed_while_others_tell_of_the_directory_is_gone_at_once():
-    """An entry that is turned away itself hears of the end of an endpoint."""
+def test_a_removed_entry_is_dropped_at_once_while_listings_are_confirmed():
+    """Covers an entry without access to the directory that learns of it from peers.
+
+    Their listings confirm the fleet, so the removal does not count as an outage.
+    """
     fleet = Fleet()
     fleet.put(A)
     for at in range(10):
@@ -68,21 +71,21 @@
     assert fleet.remove("a", now=9.1)
 
 
-def test_a_removal_told_twice_keeps_an_endpoint_no_longer():
+def test_a_repeated_removal_does_not_extend_the_grace_period():
     fleet = fleet_after_outage()
     fleet.remove("a", now=20.1)
     fleet.remove("a", now=21.9)
-    assert fleet.expire(now=20.0 + RETURN_GRACE) == ["a"]
+    assert fleet.expire(now=20.0 + REREGISTRATION_GRACE) == ["a"]
 
 
-def test_a_new_incarnation_takes_the_place_of_the_old_one():
+def test_a_new_endpoint_replaces_the_old_one_at_its_address():
     fleet = Fleet()
     fleet.put(holding(A, 0, 10))
     fleet.put(attrs.evolve(A, id="a2", name="a2"))
     assert [e.id for e in fleet.of_service("rooms")] == ["a2"]
 
 
-def test_a_listing_ends_what_it_does_not_hold():
+def test_a_listing_removes_the_endpoints_it_lacks():
     fleet = Fleet()
     fleet.put(A)
     fleet.put(make_endpoint("b", "large"))
@@ -104,5 +107,5 @@
         ({"accelerator": ""}, False),
     ],
 )
-def test_an_endpoint_that_cannot_be_what_it_tells_fits_no_service(changes, fits):
+def test_an_endpoint_with_impossible_layers_or_accelerator_does_not_fit(changes, fits):
     assert attrs.evolve(A, **changes).fits(make_shape()) is fits
--- a/packages/core/tests/pipelines/test_routing.py
+++ b/packages/core/tests/pipelines/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routes, keys and versions."""
+"""Tests of routes, organisations' keys and configuration versions."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     host="maps.example",
     prefix="/rooms/label/",
     retry_safety=RetrySafety.RESUMABLE_STREAM,
-    shares=(("mapchat", 1.0),),
+    service_weights=(("mapchat", 1.0),),
     timeout=20.0,
     objective=0.5,
-    gap=0.2,
+    max_event_gap=0.2,
     priority=1,
-    most_attempts=2,
+    max_attempts=2,
     needs_key=True,
 )
 SHORT = attrs.evolve(LONG, name="short", prefix="/rooms/", needs_key=False)
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def table() -> RoutingTable:
-    """A version with two routes and one key."""
+    """A configuration with two routes and one key."""
     return RoutingTable(
         version=7,
         hosts={"maps.example": {LONG.prefix: LONG, SHORT.prefix: SHORT}},
@@ -59,28 +59,28 @@
 @pytest.mark.parametrize(
     ("host", "path"), [("maps.example", "/room"), ("other.example", "/rooms/")]
 )
-def test_what_no_route_matches_is_unknown(table, host, path):
+def test_a_request_without_a_route_is_an_unknown_resource(table, host, path):
     assert table.route(host, path).kind is ErrorKind.UNKNOWN_RESOURCE
 
 
-def test_a_key_names_its_organisation(table):
+def test_a_known_key_resolves_to_its_organisation(table):
     assert table.organisation(LONG, "secret").name == "blue"
 
 
 @pytest.mark.parametrize("key", [None, "wrong"])
-def test_an_unknown_key_is_refused_where_one_is_needed(table, key):
+def test_an_unknown_key_is_refused_if_the_route_needs_one(table, key):
     assert table.organisation(LONG, key).kind is ErrorKind.UNAUTHENTICATED
     assert not isinstance(table.organisation(SHORT, key), Refusal)
 
 
-def test_an_older_version_never_takes_the_place_of_a_newer_one(table):
+def test_only_a_newer_version_replaces_the_current_one(table):
     assert is_newer(table, None)
     assert not is_newer(table, table)
     assert not is_newer(attrs.evolve(table, version=6), table)
 
 
-def test_shares_follow_the_weights_and_the_same_request_has_the_same_service():
-    split = attrs.evolve(LONG, shares=(("a", 90.0), ("b", 10.0)))
+def test_services_are_chosen_by_weight_and_stay_the_same_for_a_request():
+    split = attrs.evolve(LONG, service_weights=(("a", 90.0), ("b", 10.0)))
     chosen = [split.service_for(f"request-{i}") for i in range(2000)]
     assert 120 < chosen.count("b") < 280
     assert [split.service_for(f"request-{i}") for i in range(2000)] == chosen
--- a/packages/relay/src/lacewingcourse/relay/admission.py
+++ b/packages/relay/src/lacewingcourse/relay/admission.py
@@ -76,7 +76,7 @@
     def _queue_entry(self, job: Job, demand: Demand, now: float) -> QueuedRequest:
         """Return the queue entry of a request, with the time until which it waits."""
         if job.caller.response_started:
-            patience = resume_timeout(job.route.objective, job.route.gap)
+            patience = resume_timeout(job.route.objective, job.route.max_event_gap)
             until = job.last_event_at + patience
         else:
             until = self.wait(job.request.received_at, job.route.objective)
--- a/packages/relay/src/lacewingcourse/relay/application.py
+++ b/packages/relay/src/lacewingcourse/relay/application.py
@@ -364,7 +364,7 @@
             name: Name of the endpoint.
             born: Unix time of its start in milliseconds.
         """
-        if not self.routing_state.fleet.note_start(name, born):
+        if not self.routing_state.fleet.record_start(name, born):
             return False
         self.log.log_event("endpoint_restarted", endpoint=name, born=born)
         return True
--- a/packages/relay/src/lacewingcourse/relay/followers.py
+++ b/packages/relay/src/lacewingcourse/relay/followers.py
@@ -323,7 +323,7 @@
 
     def _update_endpoint(self, endpoint: Endpoint, log_changes: bool) -> bool:
         """Apply an entry that describes an endpoint; return whether it changed."""
-        known = self.routing_state.fleet.named(endpoint.name)
+        known = self.routing_state.fleet.current_incarnation(endpoint.name)
         recognised = self.routing_state.is_configured(endpoint)
         effect = self.routing_state.fleet.put(endpoint, recognised)
         changed = effect in (EntryEffect.CHANGED, EntryEffect.RESTARTED)
--- a/packages/relay/src/lacewingcourse/relay/gateway.py
+++ b/packages/relay/src/lacewingcourse/relay/gateway.py
@@ -184,10 +184,12 @@
     def _record_duration(self, job: Job, now: float) -> None:
         """Record how long a complete answer took."""
         durations, received = self.routing_state.durations, job.request.received_at
-        durations.note(job.route.name, now - received)
+        durations.record_answer(job.route.name, now - received)
         if job.events > 1:
             interval = (job.last_event_at - job.first_event_at) / (job.events - 1)
-            durations.note_stream(job.service, job.first_event_at - received, interval)
+            durations.record_stream(
+                job.service, job.first_event_at - received, interval
+            )
 
     async def _wait_for_configuration(self, request: CallerRequest) -> None:
         """Hold a request that arrived before the first configuration.
--- a/packages/relay/src/lacewingcourse/relay/job.py
+++ b/packages/relay/src/lacewingcourse/relay/job.py
@@ -104,7 +104,7 @@
         as many endpoints as the route allows, only these may be used.
         """
         attempts = self.sends - self.rejections
-        if attempts >= self.route.most_attempts or self.caller.disconnected:
+        if attempts >= self.route.max_attempts or self.caller.disconnected:
             return False
         if self.rejections > MAX_REJECTIONS:
             return False
@@ -114,7 +114,7 @@
     @property
     def allowed_endpoints(self) -> set[str] | None:
         """Endpoints that it may be sent to, None for any."""
-        return self.sent_to if len(self.sent_to) >= self.route.most_attempts else None
+        return self.sent_to if len(self.sent_to) >= self.route.max_attempts else None
 
     @property
     def may_try_another(self) -> bool:
--- a/packages/relay/src/lacewingcourse/relay/placement_duty.py
+++ b/packages/relay/src/lacewingcourse/relay/placement_duty.py
@@ -9,15 +9,15 @@
 import attrs
 
 from lacewingcourse.core.pipelines.copies import Assignment
-from lacewingcourse.core.pipelines.improvement import search_improvement
-from lacewingcourse.core.pipelines.layout import groups_of, search_group
+from lacewingcourse.core.pipelines.layout import placement_groups, search_group_layout
+from lacewingcourse.core.pipelines.rebalancing import search_rebalancing
 from lacewingcourse.relay.ports import EngineReport, Lease, OrderOutcome, Unavailable
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from lacewingcourse.core.pipelines.fleet import Endpoint
-    from lacewingcourse.core.pipelines.layout import Search
+    from lacewingcourse.core.pipelines.layout import LayoutSearch
     from lacewingcourse.core.pipelines.shape import EngineShape
     from lacewingcourse.relay.decisions import DecisionLog
     from lacewingcourse.relay.duty_holder import DutyHolder
@@ -158,8 +158,8 @@
         if holds_nothing and now - self.grown_at < SETTLE_TIME:
             return
         tasks: list[asyncio.Task] = []
-        for group in groups_of(endpoints, shape):
-            plan = await run_in_slices(search_group(group, shape))
+        for group in placement_groups(endpoints, shape):
+            plan = await run_in_slices(search_group_layout(group, shape))
             tasks += await self._send_orders(plan, shape, now)
         if not tasks:
             plan = await self._improvement(service, endpoints, shape, now)
@@ -222,7 +222,7 @@
         if turn >= groups * passes:
             return []
         self.turns[service] = turn + 1
-        found = await run_in_slices(search_improvement(endpoints, shape, quiet, turn))
+        found = await run_in_slices(search_rebalancing(endpoints, shape, quiet, turn))
         return found if self.routing_state.fleet.revision == self.revision else []
 
     async def _confirm_duty(self) -> bool:
@@ -333,7 +333,7 @@
             self.pending.pop(endpoint.id, None)
 
 
-async def run_in_slices(search: Search) -> list[Assignment]:
+async def run_in_slices(search: LayoutSearch) -> list[Assignment]:
     """Run a search to its end, yielding to the event loop between its steps.
 
     Steps of a few tens of microseconds run together, since yielding costs as much.
--- a/packages/relay/src/lacewingcourse/relay/restart_estimate.py
+++ b/packages/relay/src/lacewingcourse/relay/restart_estimate.py
@@ -93,7 +93,7 @@
         if shape is not None and max_answer:
             max_events = -(-max_answer // shape.event_tokens) - job.events
             has_begun = job.events > 0
-            remaining = routing_state.durations.rest_of_stream(
+            remaining = routing_state.durations.remaining_stream_seconds(
                 job.service, max_events, has_begun
             )
             if remaining is not None:
--- a/packages/relay/src/lacewingcourse/relay/stall_watcher.py
+++ b/packages/relay/src/lacewingcourse/relay/stall_watcher.py
@@ -91,7 +91,7 @@
     def begin(self, job: Job, now: float) -> None:
         """Start to watch a stream that was sent."""
         job.watched = self.watch.begin(
-            job.path, now, job.route.gap, job.route.objective
+            job.path, now, job.route.max_event_gap, job.route.objective
         )
         self.jobs[job.watched] = job
 
@@ -211,7 +211,7 @@
         elif self.on_start(part.name, found.born):
             self.move_streams_from(part.endpoint)
         else:
-            self.speeds.tell(part.endpoint, found.slowdown, self.clock())
+            self.speeds.update(part.endpoint, found.slowdown, self.clock())
             self._apply_report(part, found)
 
     async def _probe_twice(
--- a/packages/relay/src/lacewingcourse/relay/streams.py
+++ b/packages/relay/src/lacewingcourse/relay/streams.py
@@ -182,8 +182,8 @@
     def _record_transfers(self, state: StreamState, path: Path, now: float) -> None:
         """Record the load that a prompt's transfer puts on the links of its path."""
         for pair in path.crossings:
-            seconds = state.shape.transfer_seconds(state.demand.prompt)
-            self.routing_state.links.add(pair, seconds, now)
+            seconds = state.shape.transfer_seconds(state.demand.prompt_tokens)
+            self.routing_state.links.record_transfer(pair, seconds, now)
 
     async def _run_attempt(
         self, state: StreamState, path: Path, replacement: Replacement | None
@@ -351,7 +351,7 @@
         shape = self.routing_state.shape(job.service)
         if shape is None:
             return 0.0
-        return self.routing_state.chooser(shape).filled(part)
+        return self.routing_state.chooser(shape).memory_share(part)
 
     def _error_kind(self, result: AttemptResult) -> ErrorKind:
         if result.end is AttemptEnd.REJECTED:
@@ -394,4 +394,4 @@
         draw = self.rng.random()
         if kind is ErrorKind.RETRIES_EXHAUSTED:
             return retry_after_exhausted(draw)
-        return retry_after(self.routing_state.durations.usual(job.route.name), draw)
+        return retry_after(self.routing_state.durations.median(job.route.name), draw)
--- a/packages/relay/tests/relay/rolling_restart.py
+++ b/packages/relay/tests/relay/rolling_restart.py
@@ -165,8 +165,8 @@
         )
         for _ in range(64):
             events = self.draw_event_count(self.rng)
-            routing_state.durations.note("rooms", events * INTERVAL)
-            routing_state.durations.note_stream("rooms", INTERVAL, INTERVAL)
+            routing_state.durations.record_answer("rooms", events * INTERVAL)
+            routing_state.durations.record_stream("rooms", INTERVAL, INTERVAL)
         process = self._process(name, routing_state)
         self.processes[name] = process
         asyncio.ensure_future(self._run_gossip(name, process))
--- a/packages/relay/tests/relay/routes.py
+++ b/packages/relay/tests/relay/routes.py
@@ -29,8 +29,8 @@
         ((service, 1.0),),
         timeout=timeout,
         objective=objective,
-        gap=0.2,
+        max_event_gap=0.2,
         priority=1,
-        most_attempts=attempts,
+        max_attempts=attempts,
         needs_key=False,
     )
--- a/packages/relay/tests/relay/test_gossip.py
+++ b/packages/relay/tests/relay/test_gossip.py
@@ -59,7 +59,7 @@
     network.run_rounds(15)
     give_loads(network)
     network.run_rounds(6)
-    loads = [e.routing_state.loads.of("x").requests for e in network.entries.values()]
+    loads = [e.routing_state.loads.get("x").requests for e in network.entries.values()]
     assert loads == [len(network.entries)] * len(network.entries)
 
 
@@ -155,7 +155,7 @@
     assert {"b-02", "b-03"} <= hubs
     give_loads(large)
     large.run_rounds(6)
-    loads = {e.routing_state.loads.of("x").requests for e in large.entries.values()}
+    loads = {e.routing_state.loads.get("x").requests for e in large.entries.values()}
     assert loads == {26}
 
 
@@ -166,7 +166,7 @@
     assert set(large.roles().values()) == {Role.EQUAL}
     give_loads(large)
     large.run_rounds(6)
-    loads = {e.routing_state.loads.of("x").requests for e in large.entries.values()}
+    loads = {e.routing_state.loads.get("x").requests for e in large.entries.values()}
     assert loads == {8}
 
 
--- a/packages/relay/tests/relay/test_housekeeping.py
+++ b/packages/relay/tests/relay/test_housekeeping.py
@@ -9,7 +9,7 @@
 from lacewingcourse.core.pipelines.peers import PeerTable
 from lacewingcourse.core.pipelines.permits import PermitIssuer
 from lacewingcourse.core.pipelines.retry_budget import RetryBudget
-from lacewingcourse.core.pipelines.speed import ESTIMATE_KEPT
+from lacewingcourse.core.pipelines.speed import ESTIMATE_TTL
 from lacewingcourse.relay import housekeeping
 from lacewingcourse.relay.connections import ConnectionPool
 from lacewingcourse.relay.housekeeping import FREEZE_THRESHOLD, Housekeeping
@@ -34,11 +34,11 @@
 
 def test_expired_state_is_removed(make_housekeeper):
     housekeeper = make_housekeeper()
-    housekeeper.routing_state.speeds.tell("e", 5.0, now=0.0)
+    housekeeper.routing_state.speeds.update("e", 5.0, now=0.0)
     housekeeper.routing_state.links.from_peer("b", {("east", "west"): 0.3})
     housekeeper.routing_state.loads.from_peer("b", {}, now=0.0)
-    housekeeper.expire(ESTIMATE_KEPT + 1.0)
-    assert housekeeper.routing_state.speeds.members == {}
+    housekeeper.expire(ESTIMATE_TTL + 1.0)
+    assert housekeeper.routing_state.speeds.estimates == {}
     assert housekeeper.routing_state.loads.peers == {}
     assert housekeeper.routing_state.links.peers == {}
 
--- a/packages/relay/tests/relay/test_moving_streams.py
+++ b/packages/relay/tests/relay/test_moving_streams.py
@@ -173,7 +173,7 @@
     """
     scenario = stream(Engine())
     for seconds in (2.0,) * 20 + (6.0,) * 2:
-        scenario.routing_state.durations.note("rooms", seconds)
+        scenario.routing_state.durations.record_answer("rooms", seconds)
     scenario._find = lambda *asked: Refusal(ErrorKind.OVERLOADED, "no path has memory")
     ended = run_virtual(scenario.serve())
     least, most = RETRY_AFTER_ANSWERS
--- a/packages/relay/tests/relay/test_readiness.py
+++ b/packages/relay/tests/relay/test_readiness.py
@@ -63,7 +63,9 @@
     """A cutoff of 2.8 seconds for any grace time refused 47 requests needlessly."""
     readiness = Readiness(RoutingState(), grace, admit_expected)
     for number in range(100):
-        readiness.routing_state.durations.note("rooms", length * (0.5 + number / 200))
+        readiness.routing_state.durations.record_answer(
+            "rooms", length * (0.5 + number / 200)
+        )
     readiness.start_drain(now=10.0)
     latest = 10.0 + grace - SHUTDOWN_MARGIN - length
     assert accepts(readiness, ROOMS, latest - 0.01)
@@ -72,7 +74,7 @@
 
 def test_durations_of_one_route_do_not_affect_another(draining):
     for _ in range(20):
-        draining.routing_state.durations.note("calls", 0.05)
+        draining.routing_state.durations.record_answer("calls", 0.05)
     assert accepts(draining, CALLS, 17.0)
     assert not accepts(draining, ROOMS, 17.0)
 
@@ -92,8 +94,10 @@
 @pytest.mark.parametrize("usual", [0.01, 0.5, 2.0])
 def test_past_durations_do_not_bound_requests_after_the_redirect_time(draining, usual):
     for _ in range(64):
-        draining.routing_state.durations.note("rooms", usual)
-        draining.routing_state.durations.note_stream("rooms", 0.1 * usual, 0.01 * usual)
+        draining.routing_state.durations.record_answer("rooms", usual)
+        draining.routing_state.durations.record_stream(
+            "rooms", 0.1 * usual, 0.01 * usual
+        )
     draining.accept_policy = admit_until_redirected
     redirected = 10.0 + REDIRECT_TIME
     assert accepts(draining, ROOMS, redirected - 0.01)
--- a/packages/relay/tests/relay/test_restart_estimate.py
+++ b/packages/relay/tests/relay/test_restart_estimate.py
@@ -55,8 +55,8 @@
             services={"rooms": SimpleNamespace(shape=shape)}
         )
         for _ in range(20):
-            routing_state.durations.note("rooms", 2.0)
-            routing_state.durations.note_stream("rooms", 0.5, INTERVAL)
+            routing_state.durations.record_answer("rooms", 2.0)
+            routing_state.durations.record_stream("rooms", 0.5, INTERVAL)
         job = SimpleNamespace(
             request=SimpleNamespace(
                 max_answer_tokens=max_answer_tokens, received_at=received
--- a/packages/relay/tests/relay/test_version_changes.py
+++ b/packages/relay/tests/relay/test_version_changes.py
@@ -174,7 +174,7 @@
     async def run():
         job = make_job()
         job.path = routing_state.paths("rooms", shape, 0.0)[0]
-        job.route = SimpleNamespace(gap=0.2, objective=0.5)
+        job.route = SimpleNamespace(max_event_gap=0.2, objective=0.5)
         job.may_move, job.watched = True, None
         job.current_exchange = SimpleNamespace(arrivals=asyncio.Queue())
         watcher.begin(job, -2.0)
